--- a/core/activity.cpp
+++ b/core/activity.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: activity.cpp
- * What an event loop can be busy with.
+ * Activities of an event loop, for accounting of its processor time.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
--- a/core/activity.h
+++ b/core/activity.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: activity.h
- * What an event loop can be busy with.
+ * Activities of an event loop, for accounting of its processor time.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -15,24 +15,24 @@
 
 namespace calicoscale {
 
-/** What a node's processor time is booked to. */
+/** Kinds of work to which work_meter attributes the processor time of a node. */
 enum class activity : std::uint8_t {
-	TIMERS, ///< Whatever else is due.
-	POSTED, ///< Whatever else was posted.
-	CALLERS, ///< Reading callers' requests, and what follows at once.
-	ENDPOINT_ANSWERS, ///< Reading answers of endpoints, and what follows at once.
-	LINK_READ, ///< Reading and checking what peers send.
+	TIMERS, ///< Timers that no other activity covers.
+	POSTED, ///< Posted callbacks that no other activity covers.
+	CALLERS, ///< Reading requests of callers, and the processing that directly follows.
+	ENDPOINT_ANSWERS, ///< Reading answers of endpoints, and the processing that directly follows.
+	LINK_READ, ///< Reading and checking messages of peers.
 	HEARTBEATS_RECEIVED,
 	HEARTBEATS_SENT,
-	WORK_MESSAGES, ///< Stage work that peers hand over, end or cancel.
-	RESULT_MESSAGES, ///< Results that peers release or tell.
+	WORK_MESSAGES, ///< Messages of peers that assign, complete or cancel stage work.
+	RESULT_MESSAGES, ///< Messages of peers that release or report results.
 	PROMPT_MESSAGES,
 	OTHER_MESSAGES,
 	STAGE_SEARCH, ///< Choosing the next call of a stage pool.
 	STAGE_SEND, ///< Writing calls to stage replicas.
-	STAGE_ENDS, ///< Taking the ends of stage calls, and telling whose work it was.
-	STAGE_RELEASES, ///< Telling stage replicas which results are needed no more.
-	STAGE_TICK, ///< Late work, links, and results that have expired.
+	STAGE_ENDS, ///< Processing completed stage calls, and notifying the owners of the work.
+	STAGE_RELEASES, ///< Notifying stage replicas of results that are no longer needed.
+	STAGE_TICK, ///< Periodic check for late work, links and expired results.
 	LOG, ///< Writing the log.
 	COUNT,
 };
--- a/core/bounded_body.cpp
+++ b/core/bounded_body.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: bounded_body.cpp
- * Collects the body of a message up to a size.
+ * Collects the body of a message up to a maximum size.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -11,7 +11,7 @@
 namespace calicoscale {
 
 void bounded_body::append(std::string_view p_bytes) {
-	_is_whole = _is_whole && p_bytes.size() <= _most - _bytes.size();
+	_is_whole = _is_whole && p_bytes.size() <= _max_bytes - _bytes.size();
 	if (_is_whole) {
 		_bytes.append(p_bytes);
 	} else {
--- a/core/bounded_body.h
+++ b/core/bounded_body.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: bounded_body.h
- * Collects the body of a message up to a size.
+ * Collects the body of a message up to a maximum size.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -15,27 +15,30 @@
 
 namespace calicoscale {
 
-/** Collects bytes, and knows whether it has them all: what is too large to hold must not pass for a shorter whole. */
+/**
+ * Collects the bytes of a body up to a maximum. Once the body exceeds it, the bytes are discarded and is_whole() is false, so that
+ * a truncated body can't be mistaken for a complete shorter one.
+ */
 class bounded_body {
-	std::size_t _most;
+	std::size_t _max_bytes;
 	std::string _bytes;
 	bool _is_whole = true;
 
 public:
-	/** @param p_most Bytes that are held at most. */
-	explicit bounded_body(std::size_t p_most) :
-			_most(p_most) {}
+	/** @param p_max_bytes size above which the body is discarded. */
+	explicit bounded_body(std::size_t p_max_bytes) :
+			_max_bytes(p_max_bytes) {}
 
-	/** Takes bytes. Once there are too many, none are held any more. */
+	/** Appends bytes; discards the whole body once it exceeds the maximum. */
 	void append(std::string_view p_bytes);
 
-	/** Begins anew. */
+	/** Resets to an empty, complete body. */
 	void clear();
 
-	/** False when more came than is held. */
+	/** Whether all bytes appended since the last clear() are stored. */
 	bool is_whole() const { return _is_whole; }
 
-	/** All that came; empty when it was too much. */
+	/** The complete body; empty when it exceeded the maximum. */
 	const std::string &get() const { return _bytes; }
 };
 
--- a/core/digest.h
+++ b/core/digest.h
@@ -32,7 +32,7 @@
 	auto operator<=>(const half_digest &p_other) const = default;
 };
 
-/** SHA-256 over several fields and their borders, without joining them. */
+/** SHA-256 over a sequence of fields. The size of each field is hashed too, so that moving a byte across a border changes the digest. */
 class field_digest {
 	struct context_deleter {
 		void operator()(evp_md_ctx_st *p_context) const;
@@ -43,10 +43,10 @@
 public:
 	field_digest();
 
-	/** Takes in the next field. */
+	/** Adds the next field. */
 	void add(std::string_view p_field);
 
-	/** The digest of all fields so far; ends it. */
+	/** Returns the digest of all fields. The object must not be used afterwards. */
 	half_digest finish();
 };
 
@@ -56,15 +56,15 @@
 /** Compares in a time that depends on the lengths only. */
 bool equal_in_constant_time(std::string_view p_left, std::string_view p_right);
 
-/** Running digest over the tokens of a stream; both ends compute it. */
+/** Running digest over the tokens of a stream; sender and receiver compute it and compare. */
 class stream_digest {
 	std::uint64_t _state = 0;
 
 public:
-	/** Takes in the next token. */
+	/** Adds the next token. */
 	void add(std::string_view p_token) { _state = hash_bytes(p_token, _state + 1); }
 
-	/** 16 hexadecimal digits over all tokens so far, their borders included. */
+	/** Digest of all tokens so far as 16 hexadecimal digits; depends on the borders between tokens. */
 	std::string to_string() const;
 };
 
--- a/core/document_problem.h
+++ b/core/document_problem.h
@@ -15,14 +15,14 @@
 
 namespace calicoscale {
 
-/** One mistake: where it stands, what is there, what should be. */
+/** One mistake in a document: its location, the value found and the value expected. */
 struct document_problem {
 	std::string place; ///< JSON pointer, e.g. "/customers/0/weight"; "" is the whole document.
 	std::string found;
 	std::string expected;
 };
 
-/** Thrown when a document has mistakes; it lists every one of them. */
+/** Thrown when a document has mistakes; lists all of them. */
 class document_error : public std::runtime_error {
 	std::vector<document_problem> _problems;
 
@@ -31,7 +31,7 @@
 	const std::vector<document_problem> &get_problems() const { return _problems; }
 };
 
-/** One line a problem: "place: found X, expected Y". */
+/** Writes one line for each problem: "<JSON pointer>: found X, expected Y". */
 std::string to_string(const std::vector<document_problem> &p_problems);
 
 } // namespace calicoscale
--- a/core/enum_names.h
+++ b/core/enum_names.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: enum_names.h
- * Tables that give the enumerators of an enum class their names.
+ * Tables that map the enumerators of an enum class to names.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -23,7 +23,7 @@
 	std::string_view name;
 };
 
-/** Looks up the name of a value; "unknown" when the table lacks it. */
+/** Returns the name of a value; "unknown" when the table has no row for it. */
 template <typename enum_type, std::size_t row_count>
 constexpr std::string_view find_name(const std::array<enum_name<enum_type>, row_count> &p_table, enum_type p_value) {
 	for (const enum_name<enum_type> &row : p_table) {
@@ -34,7 +34,7 @@
 	return "unknown";
 }
 
-/** Looks up the value of a name; empty when no row has it. */
+/** Returns the value with a name; empty when the table has no row for it. */
 template <typename enum_type, std::size_t row_count>
 constexpr std::optional<enum_type> find_value(const std::array<enum_name<enum_type>, row_count> &p_table, std::string_view p_name) {
 	for (const enum_name<enum_type> &row : p_table) {
--- a/core/hold_up.cpp
+++ b/core/hold_up.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: hold_up.cpp
- * How long a process stood still, and whether its VM did.
+ * Detects that the process was stalled, and whether its VM was suspended.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -30,11 +30,11 @@
 hold_up hold_up_watch::note(const clock_reading &p_now, duration p_late) {
 	const clock_reading last = _last;
 	_last = p_now;
-	if (p_late < LEAST || last.since_boot == instant{}) {
+	if (p_late < MIN_STALL || last.since_boot == instant{}) {
 		return {};
 	}
 	const duration suspended = (p_now.since_boot - last.since_boot) - (p_now.running - last.running);
-	// A process that wakes with its VM may be paused besides; what the VM did not count is the larger part of a suspension.
+	// A process may also be paused around a suspension of its VM. The stall counts as a suspension when the VM was suspended for more than half of it.
 	return hold_up{ p_late, suspended * 2 > p_late ? hold_up_cause::SUSPENSION : hold_up_cause::PAUSE };
 }
 
--- a/core/hold_up.h
+++ b/core/hold_up.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: hold_up.h
- * How long a process stood still, and whether its VM did.
+ * Detects that the process was stalled, and whether its VM was suspended.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -15,36 +15,36 @@
 
 namespace calicoscale {
 
-/** The two clocks of a VM at one moment. */
+/** Values of the two monotonic clocks of a VM, read at the same moment. */
 struct clock_reading {
-	instant since_boot{}; ///< Counts the time in which the VM was suspended; all decisions go by it.
-	instant running{}; ///< Does not count it; only tells a suspension from a pause.
+	instant since_boot{}; ///< Includes time in which the VM was suspended; all decisions use this clock.
+	instant running{}; ///< Excludes time in which the VM was suspended; used only to distinguish a suspension from a pause.
 };
 
-/** What kept a process from running. */
+/** Why a process was stalled. */
 enum class hold_up_cause {
-	PAUSE, ///< It was stopped, got no processor, or did one thing for long.
-	SUSPENSION, ///< Its VM was suspended.
+	PAUSE, ///< The process was stopped, got no processor time, or ran one callback for long.
+	SUSPENSION, ///< The VM was suspended.
 };
 
 /** Name of a cause, e.g. "suspension". */
 std::string_view get_name(hold_up_cause p_cause);
 
-/** A time in which the process did not do what was due. */
+/** A process stall: a period in which the process did not run timers that were due. */
 struct hold_up {
-	duration late = duration::zero(); ///< Of the first timer that was due.
+	duration late = duration::zero(); ///< Delay of the timer that was due first; zero when there was no stall.
 	hold_up_cause cause = hold_up_cause::PAUSE;
 };
 
-/** Notices that the process stood still. Told the time with each call. */
+/** Detects process stalls. The caller passes the current time. */
 class hold_up_watch {
 	clock_reading _last;
 
 public:
-	/** A timer that is later than this is told: what waited meanwhile is explained by it, not by what was sent to this process. */
-	static constexpr duration LEAST = std::chrono::milliseconds(100);
+	/** Minimum delay of a timer that counts as a stall. Input that waited for such a time did so because of the stall, not because it was sent late. */
+	static constexpr duration MIN_STALL = std::chrono::milliseconds(100);
 
-	/** The process runs. @param p_late by how much the first timer that is due is late. @return a hold-up, or one that is no longer than nothing. */
+	/** Records that the process runs. @param p_late delay of the timer that is due first. @return the stall; its delay is zero when there was none. */
 	hold_up note(const clock_reading &p_now, duration p_late);
 };
 
--- a/core/hybrid_clock.cpp
+++ b/core/hybrid_clock.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: hybrid_clock.cpp
- * Hybrid logical clock that orders events over processes.
+ * Hybrid logical clock that orders events across processes.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr unix_milliseconds FARTHEST_AHEAD = 60'000;
+constexpr unix_milliseconds MAX_AHEAD_MS = 60'000;
 
 } // namespace
 
@@ -26,7 +26,7 @@
 }
 
 void hybrid_clock::observe(const hybrid_time &p_remote, unix_milliseconds p_wall) {
-	if (p_remote.wall > p_wall + FARTHEST_AHEAD) {
+	if (p_remote.wall > p_wall + MAX_AHEAD_MS) {
 		return;
 	}
 	if (p_remote > _last) {
--- a/core/hybrid_clock.h
+++ b/core/hybrid_clock.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: hybrid_clock.h
- * Hybrid logical clock that orders events over processes.
+ * Hybrid logical clock that orders events across processes.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -16,7 +16,7 @@
 
 namespace calicoscale {
 
-/** Wall time with a counter that keeps cause before effect when wall clocks disagree. */
+/** Wall time with a counter that orders causes before their effects when the wall clocks of nodes disagree. */
 struct hybrid_time {
 	unix_milliseconds wall = 0;
 	std::uint32_t counter = 0;
@@ -28,10 +28,10 @@
 	hybrid_time _last;
 
 public:
-	/** Time of a local event or a send; later than any time given or seen before. */
+	/** Returns the time of a local event or a send; later than each time returned or observed before. */
 	hybrid_time tick(unix_milliseconds p_wall);
 
-	/** Takes in a time received from a peer. One absurdly far ahead (over a minute) is not followed. */
+	/** Advances the clock to a time received from a peer. A time more than a minute ahead of the wall clock is ignored. */
 	void observe(const hybrid_time &p_remote, unix_milliseconds p_wall);
 };
 
--- a/core/ids.h
+++ b/core/ids.h
@@ -17,14 +17,14 @@
 
 namespace calicoscale {
 
-/** Names one request over all processes: the accepting node's incarnation and a counter of that node. */
+/** Identifies a request across all processes: the incarnation of the accepting node and a counter of that node. */
 struct request_id {
 	std::uint64_t incarnation = 0;
 	std::uint64_t sequence = 0;
 	auto operator<=>(const request_id &p_other) const = default;
 };
 
-/** Names one attempt at one stage of a request. The endpoint's answer must echo it. */
+/** Identifies one attempt at one stage of a request. The endpoint's answer must echo it. */
 struct attempt_id {
 	request_id request;
 	std::uint32_t stage = 0;
@@ -35,13 +35,13 @@
 /** Writes 16 hexadecimal digits. */
 std::string to_hex(std::uint64_t p_value);
 
-/** Reads what to_hex wrote; empty for anything else. */
+/** Parses the output of to_hex; empty for anything else. */
 std::optional<std::uint64_t> parse_hex(std::string_view p_text);
 
 /** Writes "<incarnation>-<sequence>" in hexadecimal. */
 std::string to_string(const request_id &p_id);
 
-/** Reads what to_string wrote; empty for anything else. */
+/** Parses the output of to_string; empty for anything else. */
 std::optional<request_id> parse_request_id(std::string_view p_text);
 
 /** Writes "<request>.<stage>.<attempt>", the form endpoints echo. */
--- a/core/labels.cpp
+++ b/core/labels.cpp
@@ -31,7 +31,7 @@
 	return std::find(p_requirement.values.begin(), p_requirement.values.end(), *p_value) != p_requirement.values.end();
 }
 
-bool holds(const requirement &p_requirement, const label_set &p_labels) {
+bool is_satisfied(const requirement &p_requirement, const label_set &p_labels) {
 	const std::string *value = p_labels.find(p_requirement.key);
 	switch (p_requirement.op) {
 		case match_operator::EXISTS:
@@ -58,7 +58,7 @@
 
 bool selector::matches(const label_set &p_labels) const {
 	return std::all_of(requirements.begin(), requirements.end(), [&p_labels](const requirement &p_requirement) {
-		return holds(p_requirement, p_labels);
+		return is_satisfied(p_requirement, p_labels);
 	});
 }
 
--- a/core/labels.h
+++ b/core/labels.h
@@ -51,7 +51,7 @@
 	/** Whether all requirements hold for the labels. NOT_IN also holds where the label is absent. */
 	bool matches(const label_set &p_labels) const;
 
-	/** Joins both: matches only what both match. */
+	/** Returns the conjunction of both selectors. */
 	selector joined_with(const selector &p_other) const;
 
 	/** Canonical text, usable as a cache key. */
--- a/core/log_position.h
+++ b/core/log_position.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: log_position.h
- * A place in a log that may come back from an older copy of itself.
+ * A position in a log that may be restored from an older copy.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -15,12 +15,12 @@
 namespace calicoscale {
 
 /**
- * An offset and the era it belongs to. Each time the log comes back from a copy the era rises and offsets behind the copy's
- * end are given out again, so that an offset alone names different records before and after.
+ * An offset and its era. The era is the generation of the log and rises each time the log is restored from an older copy. After a
+ * restore the offsets behind the end of the copy are assigned again, so that an offset alone would identify different records.
  */
 struct log_position {
-	std::uint64_t era = 0; ///< 0 for a log that tells none.
-	std::uint64_t offset = 0; ///< Of the next record to be read.
+	std::uint64_t era = 0; ///< 0 for a log that reports no era.
+	std::uint64_t offset = 0; ///< Offset of the next record to be read.
 	auto operator<=>(const log_position &p_other) const = default;
 };
 
--- a/core/quantile_sketch.cpp
+++ b/core/quantile_sketch.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: quantile_sketch.cpp
- * Quantiles of durations in which old samples fade.
+ * Quantiles of durations with exponential decay of old samples.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
--- a/core/quantile_sketch.h
+++ b/core/quantile_sketch.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: quantile_sketch.h
- * Quantiles of durations in which old samples fade.
+ * Quantiles of durations with exponential decay of old samples.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,8 +18,8 @@
 namespace calicoscale {
 
 /**
- * Histogram over logarithmic buckets, each 12% wider than the one before, with forward decay:
- * a new sample weighs more instead of all old ones being rewritten.
+ * Histogram over logarithmic buckets, each 12% wider than the one before, with forward decay: new samples get a growing weight,
+ * so that the weights of old samples need no update.
  */
 class quantile_sketch {
 	static constexpr std::size_t BUCKET_COUNT = 128;
@@ -34,13 +34,12 @@
 	void _rescale(instant p_now);
 
 public:
-	/** @param p_half_life time after which a sample counts half. */
+	/** @param p_half_life time after which the weight of a sample has halved. */
 	explicit quantile_sketch(duration p_half_life = std::chrono::seconds(20));
 
-	/** Adds one sample. */
 	void add(duration p_sample, instant p_now);
 
-	/** Value below which the share p_quantile of the samples lies; empty without samples. Off by at most one bucket. */
+	/** Value below which the share p_quantile (0 to 1) of the samples lies, with an error of at most one bucket; empty without samples. */
 	std::optional<duration> get_quantile(double p_quantile) const;
 
 	/** Decayed number of samples as of p_now. */
--- a/core/random_source.h
+++ b/core/random_source.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: random_source.h
- * Random numbers for decisions, seeded from outside so that runs can be replayed.
+ * Random numbers for decisions, with a seed set by the caller so that runs can be replayed.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -15,7 +15,7 @@
 
 namespace calicoscale {
 
-/** Seeded generator that is handed to decisions. */
+/** Seeded generator that is passed to the code that decides. */
 class random_source {
 	std::mt19937_64 _engine;
 
@@ -23,16 +23,16 @@
 	explicit random_source(std::uint64_t p_seed) :
 			_engine(p_seed) {}
 
-	/** A whole number in [0, p_count); 0 when p_count is 0. The bias of the product method is below 2^-32 for table sizes. */
+	/** Returns an integer in [0, p_count); 0 when p_count is 0. The bias of the product method is below 2^-32 for table sizes. */
 	std::size_t get_below(std::size_t p_count) {
 		const std::uint64_t high = _engine() >> 32U;
 		return static_cast<std::size_t>((high * p_count) >> 32U);
 	}
 
-	/** A number in [0, 1). */
+	/** Returns a number in [0, 1). */
 	double get_unit() { return static_cast<double>(_engine() >> 11U) * 0x1.0p-53; }
 
-	/** 64 random bits. */
+	/** Returns 64 random bits. */
 	std::uint64_t get_bits() { return _engine(); }
 };
 
--- a/core/time.h
+++ b/core/time.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: time.h
- * Time as decisions see it: handed in with each event, never read.
+ * Types of time. Code that decides gets the current time from its caller and reads no clock.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -14,10 +14,10 @@
 
 namespace calicoscale {
 
-/** Length of time; microseconds, as everything that is decided fits that grain. */
+/** Length of time in microseconds, which is fine enough for all decisions. */
 using duration = std::chrono::microseconds;
 
-/** The node's own monotonic time line. It has no now(): only drivers read clocks. */
+/** The node's monotonic clock. It has no now(), because only drivers read clocks. */
 struct node_clock {
 	using duration = calicoscale::duration;
 	using rep = duration::rep;
@@ -26,10 +26,10 @@
 	static constexpr bool is_steady = true;
 };
 
-/** A point on the node's monotonic time line. */
+/** A point in time of the node's monotonic clock. */
 using instant = node_clock::time_point;
 
-/** Milliseconds since 1970 by the wall clock, handed in by drivers. */
+/** Milliseconds since 1970 by the wall clock; drivers pass it in. */
 using unix_milliseconds = std::int64_t;
 
 /** Converts to seconds, for rates and reports. */
@@ -42,13 +42,13 @@
 	return static_cast<double>(p_value.count()) / 1e3;
 }
 
-/** Converts from seconds. What is no number is none; beyond a hundred years it is brought within, so that sums do not overflow. */
+/** Converts from seconds. NaN becomes zero; values are clamped to 100 years in both directions so that sums don't overflow. */
 constexpr duration from_seconds(double p_value) {
-	constexpr double LONGEST = 100.0 * 365.0 * 24.0 * 3600.0;
+	constexpr double MAX_SECONDS = 100.0 * 365.0 * 24.0 * 3600.0;
 	if (p_value != p_value) {
 		return duration::zero();
 	}
-	const double seconds = p_value > LONGEST ? LONGEST : (p_value < -LONGEST ? -LONGEST : p_value);
+	const double seconds = p_value > MAX_SECONDS ? MAX_SECONDS : (p_value < -MAX_SECONDS ? -MAX_SECONDS : p_value);
 	return duration(static_cast<duration::rep>(seconds * 1e6));
 }
 
--- a/core/timer_queue.cpp
+++ b/core/timer_queue.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: timer_queue.cpp
- * Which timers are due, in the order of their times.
+ * Queue of timers, ordered by due time.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -24,23 +24,23 @@
 	if (found == _entries.end()) {
 		return;
 	}
-	const place known{ found->second.due, p_id };
-	_all.erase(known);
-	_before_sockets.erase(known);
+	const timer_key key{ found->second.due, p_id };
+	_all.erase(key);
+	_before_sockets.erase(key);
 	_entries.erase(found);
 }
 
 std::optional<instant> timer_queue::get_next(bool p_only_before_sockets) const {
-	const std::set<place> &places = p_only_before_sockets ? _before_sockets : _all;
-	return places.empty() ? std::nullopt : std::optional(places.begin()->first);
+	const std::set<timer_key> &timers = p_only_before_sockets ? _before_sockets : _all;
+	return timers.empty() ? std::nullopt : std::optional(timers.begin()->first);
 }
 
 std::optional<std::uint64_t> timer_queue::take_due(bool p_only_before_sockets, instant p_now) {
-	const std::set<place> &places = p_only_before_sockets ? _before_sockets : _all;
-	if (places.empty() || places.begin()->first > p_now) {
+	const std::set<timer_key> &timers = p_only_before_sockets ? _before_sockets : _all;
+	if (timers.empty() || timers.begin()->first > p_now) {
 		return std::nullopt;
 	}
-	const std::uint64_t id = places.begin()->second;
+	const std::uint64_t id = timers.begin()->second;
 	cancel(id);
 	return id;
 }
--- a/core/token_bucket.cpp
+++ b/core/token_bucket.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: token_bucket.cpp
- * Token bucket over handed-in time.
+ * Token bucket; the caller passes the current time.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
--- a/core/token_bucket.h
+++ b/core/token_bucket.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: token_bucket.h
- * Token bucket over handed-in time.
+ * Token bucket; the caller passes the current time.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -13,7 +13,7 @@
 
 namespace calicoscale {
 
-/** Limits a rate and allows a burst. */
+/** Limits a rate and permits bursts. The caller passes the current time. */
 class token_bucket {
 	double _rate = 0.0;
 	double _burst = 0.0;
@@ -25,19 +25,19 @@
 public:
 	token_bucket() = default;
 
-	/** @param p_rate tokens a second. @param p_burst most tokens kept; the bucket starts full. */
+	/** @param p_rate tokens per second. @param p_burst maximum number of tokens; the bucket starts full. */
 	token_bucket(double p_rate, double p_burst, instant p_now);
 
-	/** Changes the rate and burst; tokens above the new burst are lost. */
+	/** Changes the rate and the burst; tokens above the new burst are discarded. */
 	void set_rate(double p_rate, double p_burst, instant p_now);
 
-	/** Takes tokens if that many are there. */
+	/** Removes tokens if that many are available. @return whether they were. */
 	bool try_take(double p_tokens, instant p_now);
 
-	/** Gives tokens back, up to the burst. */
+	/** Returns unused tokens to the bucket, up to the burst. */
 	void give_back(double p_tokens);
 
-	/** Time until that many tokens will be there; the largest duration when the rate is zero. */
+	/** Time until that many tokens are available; duration::max() when the rate is zero. */
 	duration get_wait(double p_tokens, instant p_now);
 
 	double get_rate() const { return _rate; }
--- a/core/verdict.h
+++ b/core/verdict.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: verdict.h
- * Whether a request may have run, and why it ended as it did.
+ * Verdicts (whether a request may have run) and the reasons for them.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -13,14 +13,14 @@
 
 namespace calicoscale {
 
-/** Whether work may have run. The order matters: a later one says more may have happened. */
+/** Whether work may have run. Ordered by how much may have run. */
 enum class verdict {
-	NOT_RUN, ///< No stage ran; sending again is safe.
-	MAY_HAVE_RUN, ///< Some stage ran or may have; nobody can tell for sure.
-	COMPLETED, ///< A complete answer that matches its request is at hand.
+	NOT_RUN, ///< No stage ran; a retry is safe.
+	MAY_HAVE_RUN, ///< A stage ran or may have run; the outcome is unknown.
+	COMPLETED, ///< A complete answer that matches its request was received.
 };
 
-/** Typed reason that goes with a verdict. */
+/** Reason that accompanies a verdict. */
 enum class reason {
 	NONE,
 	BAD_REQUEST,
@@ -53,10 +53,9 @@
 	CALLER_GONE,
 	DRAINING,
 	NOT_READY,
-	ENDS_ENDPOINTS, ///< Endpoints ended under the same request before.
+	ENDS_ENDPOINTS, ///< Endpoints crashed while they ran the same request before.
 };
 
-/** A verdict with its reason. */
 struct outcome {
 	verdict what = verdict::NOT_RUN;
 	reason why = reason::NONE;
@@ -69,24 +68,24 @@
 /** Name of a reason as callers see it, e.g. "deadline_passed". */
 std::string_view get_name(reason p_reason);
 
-/** Looks a reason up by its name; NONE when no reason has that name. */
+/** Returns the reason with a name; NONE when no reason has that name. */
 reason find_reason(std::string_view p_name);
 
 /** HTTP status that reports a reason to a caller. */
 int get_http_status(reason p_reason);
 
 /**
- * Folds the verdicts of all attempts of one request that did not complete:
- * the request is NOT_RUN only if every attempt at every stage was.
+ * Combines the verdicts of all attempts of a request that did not complete: the request is NOT_RUN only if every attempt at every
+ * stage was.
  */
 class verdict_tally {
 	bool _may_have_run = false;
 
 public:
-	/** Takes one attempt into account. A completed attempt ran, so it counts as having run. */
+	/** Adds the verdict of one attempt. A completed attempt counts as having run. */
 	void add(verdict p_attempt);
 
-	/** What may be told of a request that gives up now. */
+	/** Verdict to report if the request gives up now. */
 	verdict get_verdict() const { return _may_have_run ? verdict::MAY_HAVE_RUN : verdict::NOT_RUN; }
 };
 
--- a/core/work_meter.cpp
+++ b/core/work_meter.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: work_meter.cpp
- * What an event loop spent its time on.
+ * Accounts the processor time of an event loop by activity.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
--- a/core/work_meter.h
+++ b/core/work_meter.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: work_meter.h
- * What an event loop spent its time on.
+ * Accounts the processor time of an event loop by activity.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,30 +18,30 @@
 
 namespace calicoscale {
 
-/** Time and number of one activity. */
+/** Time and number of runs of one activity. */
 struct work_amount {
 	duration time = duration::zero();
 	std::uint64_t count = 0;
 };
 
-/** What was done since the last time it was asked. */
+/** Amounts of all activities since the last call of work_meter::take(). */
 struct work_sum {
 	std::array<work_amount, ACTIVITY_COUNT> amounts{};
 	duration busy = duration::zero();
-	duration longest = duration::zero(); ///< Of all that ran without a return to the loop.
-	activity longest_by = activity::TIMERS; ///< What it began with.
+	duration longest = duration::zero(); ///< Longest time that ran without a return to the event loop.
+	activity longest_by = activity::TIMERS; ///< Outermost activity of that run.
 
 	const work_amount &get(activity p_activity) const { return amounts[static_cast<std::size_t>(p_activity)]; }
 };
 
 /**
- * Books time to activities. One that runs within another has its time to itself; the outer one goes on afterwards. Told the time
- * with each call.
+ * Attributes time to activities. Activities nest: the time of an inner activity isn't attributed to the outer one, which continues
+ * afterwards. The caller passes the current time.
  */
 class work_meter {
-	std::vector<activity> _open; ///< Innermost last.
-	instant _booked_until{};
-	instant _begun_at{}; ///< Of the outermost.
+	std::vector<activity> _open; ///< Running activities, innermost last.
+	instant _booked_until{}; ///< Time up to which _sum accounts.
+	instant _begun_at{}; ///< Start of the outermost activity.
 	work_sum _sum;
 
 	void _book(instant p_now);
@@ -50,7 +50,7 @@
 	void begin(activity p_activity, instant p_now);
 	void end(instant p_now);
 
-	/** Hands out the sum and begins anew. */
+	/** Returns the amounts since the last call and resets them. */
 	work_sum take();
 };
 
--- a/misc/scripts/mutations.sh
+++ b/misc/scripts/mutations.sh
@@ -90,7 +90,7 @@
 mutate "gateway: whole streams" "one without framing and without an event is whole" main/gateway/received_answer.cpp "return _events.is_inside_event() || lacks_events" "return _events.is_inside_event()" gateway_broken_answer_test
 mutate "gateway: whole streams" "a carriage return ends no line" servers/gateway/event_splitter.cpp 'LINE_ENDS = "\r\n"' 'LINE_ENDS = "\n"' event_splitter_test
 mutate "gateway: confirmed ends" "an orderly close is believed" $request "return is_success && is_to_stay &&" "return false && is_success && is_to_stay &&" gateway_broken_answer_test
-mutate "gateway: large answers" "what was held passes for the whole" core/bounded_body.cpp "_is_whole = _is_whole && p_bytes.size() <= _most - _bytes.size();" "if (p_bytes.size() > _most - _bytes.size()) { return; }" gateway_broken_answer_test
+mutate "gateway: large answers" "what was held passes for the whole" core/bounded_body.cpp "_is_whole = _is_whole && p_bytes.size() <= _max_bytes - _bytes.size();" "if (p_bytes.size() > _max_bytes - _bytes.size()) { return; }" gateway_broken_answer_test
 mutate "gateway: at most once" "every request may be repeated" $request "const bool is_safe = route.repeats" "const bool is_safe = true || route.repeats" gateway_test
 mutate "gateway: not run" "a refusal is given though something may have run" $request "if (_tally.get_verdict() != verdict::NOT_RUN || _stages.may_have_run() || _answer_started)" "if (_answer_started)" gateway_fleet_test
 mutate "gateway: deadline" "an endpoint gets the route's time-out in place of what is left" $request "send.remaining = _give_up_at - now;" "send.remaining = _request.route->timeout;" gateway_test
--- a/tests/core/core_test.cpp
+++ b/tests/core/core_test.cpp
@@ -39,7 +39,7 @@
 	RC_ASSERT((tally.get_verdict() == verdict::NOT_RUN) == all_not_run);
 }
 
-// Guards against a message that was too large to hold and passed for a shorter whole one.
+// Guards against a body that exceeds the maximum and is then treated as a complete shorter one.
 TEST(bounded_body, what_is_too_large_is_not_whole_whatever_comes_after) {
 	bounded_body body(10);
 	body.append("0123456789");
@@ -97,11 +97,11 @@
 RC_GTEST_PROP(token_bucket_properties, never_lets_through_more_than_burst_and_rate, (const std::vector<std::uint8_t> &p_steps)) {
 	token_bucket bucket(10.0, 5.0, at(0));
 	std::int64_t now = 0;
-	int taken = 0;
+	int taken_count = 0;
 	for (const std::uint8_t step : p_steps) {
 		now += step;
-		taken += bucket.try_take(1.0, at(now)) ? 1 : 0;
-		RC_ASSERT(taken <= 5.0 + 10.0 * static_cast<double>(now) / 1000.0 + 1e-6);
+		taken_count += bucket.try_take(1.0, at(now)) ? 1 : 0;
+		RC_ASSERT(taken_count <= 5.0 + 10.0 * static_cast<double>(now) / 1000.0 + 1e-6);
 	}
 }
 
@@ -121,9 +121,9 @@
 	}
 	std::sort(samples.begin(), samples.end());
 	const double median = samples[(samples.size() - 1) / 2];
-	const double told = to_milliseconds(*sketch.get_quantile(0.5));
-	RC_ASSERT(told <= median * 1.13);
-	RC_ASSERT(told >= median / 1.13);
+	const double reported = to_milliseconds(*sketch.get_quantile(0.5));
+	RC_ASSERT(reported <= median * 1.13);
+	RC_ASSERT(reported >= median / 1.13);
 }
 
 TEST(quantile_sketch, old_samples_fade) {
--- a/tests/core/timer_queue_test.cpp
+++ b/tests/core/timer_queue_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: timer_queue_test.cpp
- * The order of timers, and what counts as a hold-up.
+ * Order of timers, and detection of process stalls.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -22,7 +22,7 @@
 	return instant(seconds(1000) + milliseconds(p_milliseconds));
 }
 
-clock_reading read(int p_since_boot, int p_running) {
+clock_reading make_clock_reading(int p_since_boot, int p_running) {
 	return clock_reading{ at(p_since_boot), at(p_running) };
 }
 
@@ -56,13 +56,13 @@
 }
 
 TEST(hold_up_watch, tells_what_kept_the_process_from_running) {
-	hold_up_watch watch;
-	EXPECT_EQ(watch.note(read(0, 0), seconds(5)).late, duration::zero()) << "nothing is known before the first turn";
-	EXPECT_EQ(watch.note(read(30, 30), milliseconds(1)).late, duration::zero());
-	const hold_up suspended = watch.note(read(2060, 60), milliseconds(2000));
+	hold_up_watch detector;
+	EXPECT_EQ(detector.note(make_clock_reading(0, 0), seconds(5)).late, duration::zero()) << "the first call has no earlier clock values to compare with";
+	EXPECT_EQ(detector.note(make_clock_reading(30, 30), milliseconds(1)).late, duration::zero());
+	const hold_up suspended = detector.note(make_clock_reading(2060, 60), milliseconds(2000));
 	EXPECT_EQ(suspended.late, duration(milliseconds(2000)));
 	EXPECT_EQ(suspended.cause, hold_up_cause::SUSPENSION);
-	const hold_up paused = watch.note(read(3090, 1090), milliseconds(1000));
+	const hold_up paused = detector.note(make_clock_reading(3090, 1090), milliseconds(1000));
 	EXPECT_EQ(paused.late, duration(milliseconds(1000)));
 	EXPECT_EQ(paused.cause, hold_up_cause::PAUSE);
 }
--- a/tests/core/work_meter_test.cpp
+++ b/tests/core/work_meter_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: work_meter_test.cpp
- * Time is booked to what took it.
+ * Attribution of time to nested activities.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
