--- a/misc/scripts/mutations.sh
+++ b/misc/scripts/mutations.sh
@@ -118,7 +118,7 @@
 mutate "requests that end endpoints" "trials have no end" $memory "verdict.trials >= MOST_TRIALS" "verdict.trials >= 100" crash_memory_test
 mutate "requests that end endpoints" "two trials at once" $memory "return p_entry.first != p_trial && (is_under_way || comes_first);" "return false;" crash_memory_test
 mutate "requests that end endpoints" "a connection that ends alone blames its run" servers/gateway/lost_runs.cpp "if (p_end == probe_end::REFUSED) {" "if (p_end != probe_end::SILENT) {" lost_runs_test
-mutate "nodes that stood still" "peers are silent by one's own absence" servers/membership/peer_contacts.cpp "*heard == instant{} ? duration::zero() : p_absence" "duration::zero()" gateway_suspension_test
+mutate "nodes that stood still" "peers are silent by one's own absence" servers/membership/peer_contacts.cpp "*last_time == instant{} ? duration::zero() : p_stall" "duration::zero()" gateway_suspension_test
 mutate "nodes that stood still" "requests are decided on before what changed is known" main/gateway/gateway.cpp "return !_configuration.is_known_since(_away_until) || !_endpoints.is_known_since(_away_until);" "return false;" gateway_suspension_test
 mutate "nodes that stood still" "silence is judged before what came is read" drivers/event_loop.cpp "	_is_reading_first = true;
 " "" event_loop_test
@@ -149,7 +149,7 @@
 mutate "home regions" "they bind only while something else is left" servers/routing/router.cpp "return p_endpoint.is_open() && is_admitted &&" "return p_endpoint.is_open() &&" gateway_places_test
 mutate "log eras" "an answer of another era is read on from" main/gateway/topic_reader.cpp "(is_other_era && !p_is_whole)" "false" gateway_era_test
 mutate "log eras" "what had gone comes back" servers/gateway/endpoint_directory.cpp "return is_recent && went != _went.end() && went->second <= _era_at;" "return false;" gateway_era_test
-mutate "lists told" "there is no budget" servers/membership/list_budget.cpp "if (_left <= 0.0) {" "if (false) {" list_budget_test
+mutate "lists told" "there is no budget" servers/membership/list_budget.cpp "if (_available_bytes <= 0.0) {" "if (false) {" list_budget_test
 mutate "stage search" "all works are looked at again after a vain search" servers/gateway/stage_pool.cpp "_vain_since = _vain_since.value_or(p_now);" "" stage_pool_search_test
 mutate "stage search" "a vain search holds for good" servers/gateway/stage_pool.cpp "p_now - *_vain_since >= VAIN_FOR" "false" stage_pool_search_test
 mutate "stage search" "a call that ends leaves a vain search in force" servers/gateway/stage_pool.cpp $'\t_search_all_again();\n\tconst running_call call' $'\tconst running_call call' stage_pool_search_test
--- a/servers/membership/fleet_overlay.h
+++ b/servers/membership/fleet_overlay.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: fleet_overlay.h
- * Which few nodes carry the control traffic of the fleet, and whom this node keeps a link to.
+ * Selects the hubs, which carry the control traffic of the fleet, and the nodes to which this node keeps a link.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,41 +18,41 @@
 
 namespace calicoscale {
 
-/** A node as far as links to it matter. */
+/** Properties of a node by which links are planned. */
 struct overlay_node {
 	std::string vm;
 	std::string zone;
-	double cores = 1.0; ///< Share of a processor core, or cores.
+	double cores = 1.0; ///< Processor cores that the node may use; may be a fraction.
 };
 
-/** Whom a node links to. */
+/** The links of a node, and its role. */
 struct overlay_plan {
-	std::vector<std::string> hubs; ///< Hubs that are heard, of all zones a hub links to or of the own one; the own VM if it is one.
-	std::vector<std::string> wanted; ///< Nodes to keep a link to, or to make one to.
-	bool is_hub = false; ///< This node carries the traffic of its zone.
-	bool is_settled = true; ///< Nobody that may be a hub is still tried: what this node hears is all there is.
+	std::vector<std::string> hubs; ///< Responsive hubs: of all zones if this node is a hub, else of its own zone. Includes the own VM if it is one by rank.
+	std::vector<std::string> wanted; ///< Nodes to which to keep or establish a link.
+	bool is_hub = false; ///< This node carries the control traffic of its zone.
+	bool is_settled = true; ///< No possible hub is still in its first attempt, so that the responsive hubs are all there are.
 };
 
 /**
  * A few nodes of each zone are its hubs: they link to each other over all zones, and every other node links to those of its
- * own zone only. All nodes rank the members of a zone alike, larger ones first, then by a hash; the first few that answer
- * are the hubs. Nothing is agreed on: while views differ there is a hub too many or one is missed for a moment, and nodes
- * that lost their hubs go on to the next in the order. Told the time with each call.
+ * own zone only. All nodes rank the members of a zone in the same order, larger ones first, then by a hash; the first few that are
+ * responsive are the hubs. There is no agreement protocol: while the views of nodes differ, there may briefly be one hub too many or
+ * too few, and nodes whose hubs failed proceed to the next nodes in the order. The caller passes the current time.
  *
- * Links from each node to each other one would grow with the square of the fleet; so those of a node that is no hub are the same
- * in a fleet of 30 as of 1,000.
+ * In a full mesh the number of links grows with the square of the fleet. Here a node that is no hub has as many links in a fleet of
+ * 30 as in one of 1,000.
  */
 class fleet_overlay {
 	std::string _vm;
 	std::string _zone;
 	std::size_t _hubs_per_zone = 0;
-	std::map<std::string, instant> _tried_since; ///< Nodes that were to be linked and were not heard since.
+	std::map<std::string, instant> _tried_since; ///< Nodes that were not responsive, by the time of the first attempt to link to them.
 
 	struct zone_view;
 	bool _has_failed(const std::string &p_vm, instant p_now);
-	std::vector<const overlay_node *> _rank(const std::vector<const overlay_node *> &p_nodes, bool p_larger, double p_most) const;
-	void _walk(const std::vector<const overlay_node *> &p_ranked, const std::function<bool(const std::string &)> &p_is_heard, instant p_now, zone_view &r_view);
-	zone_view _view_zone(const std::vector<const overlay_node *> &p_nodes, const std::function<bool(const std::string &)> &p_is_heard, instant p_now);
+	std::vector<const overlay_node *> _rank(const std::vector<const overlay_node *> &p_nodes, bool p_larger, double p_max_cores) const;
+	void _select_hubs(const std::vector<const overlay_node *> &p_ranked, const std::function<bool(const std::string &)> &p_is_responsive, instant p_now, zone_view &r_view);
+	zone_view _view_zone(const std::vector<const overlay_node *> &p_nodes, const std::function<bool(const std::string &)> &p_is_responsive, instant p_now);
 
 public:
 	fleet_overlay(std::string p_vm, std::string p_zone) :
@@ -60,14 +60,14 @@
 
 	/**
 	 * Plans the links.
-	 * @param p_nodes all known nodes that do not stop, this one included unless it stops.
-	 * @param p_is_heard whether another node was heard just now.
-	 * @param p_has_followers whether nodes rely on this one, whatever its own view says.
+	 * @param p_nodes all known nodes that are not stopping, including this one unless it is stopping.
+	 * @param p_is_responsive whether another node is responsive.
+	 * @param p_has_followers whether other nodes follow this one, which makes it a hub regardless of its rank.
 	 */
-	overlay_plan plan(const std::vector<overlay_node> &p_nodes, const std::function<bool(const std::string &)> &p_is_heard, bool p_has_followers, instant p_now);
+	overlay_plan plan(const std::vector<overlay_node> &p_nodes, const std::function<bool(const std::string &)> &p_is_responsive, bool p_has_followers, instant p_now);
 };
 
-/** Of some nodes those that are large enough to work for others: with 0.6 of the largest one's processor or more. */
+/** Returns the nodes that are large enough to work for others: those with at least 0.6 times the cores of the largest node. */
 std::vector<overlay_node> keep_larger(std::vector<overlay_node> p_nodes);
 
 } // namespace calicoscale
--- a/servers/membership/hub_sums.h
+++ b/servers/membership/hub_sums.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: hub_sums.h
- * Sums over the fleet of what each node counts, by way of hubs.
+ * Sums of per-node values over the fleet, aggregated by hubs.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -17,8 +17,8 @@
 namespace calicoscale {
 
 /**
- * A node tells its own to the hub it relies on; a hub tells other hubs the sum of its own and of those that rely on it, and these
- * the sum of all. What a lost node told is left out as soon as it is known to be lost.
+ * A follower reports its own value to its hub. A hub reports the sum of its own value and those of its followers to the other hubs,
+ * and the sum over the fleet to its followers. The value of a failed node is removed as soon as its failure is known.
  */
 template <typename VALUE>
 class hub_sums {
@@ -28,34 +28,34 @@
 	VALUE _own;
 	std::map<std::string, VALUE> _peers; ///< Other hubs.
 	std::map<std::string, VALUE> _followers;
-	std::optional<VALUE> _total; ///< As the hub told it.
+	std::optional<VALUE> _total; ///< As reported by the hub that this node follows; empty on a hub.
 
 public:
 	explicit hub_sums(add_hook p_add) :
 			_add(std::move(p_add)) {}
 
-	/** Sets what this node counts. */
+	/** Sets the value of this node. */
 	void set_own(VALUE p_own) { _own = std::move(p_own); }
 
-	/** A node that relies on this one told its own. */
+	/** Sets the value that a follower of this node reported. */
 	void take_follower(const std::string &p_node, VALUE p_value) {
 		_peers.erase(p_node);
 		_followers[p_node] = std::move(p_value);
 	}
 
-	/** Another hub told its sum. */
+	/** Sets the sum that another hub reported. */
 	void take_peer(const std::string &p_node, VALUE p_value) {
 		_followers.erase(p_node);
 		_peers[p_node] = std::move(p_value);
 	}
 
-	/** The hub that this node relies on told the sum of all. */
+	/** Sets the sum over the fleet that the hub of this node reported. */
 	void take_total(VALUE p_value) { _total = std::move(p_value); }
 
-	/** This node is a hub and adds up by itself. */
+	/** Clears the reported sum, so that get_total() adds up the values known here; for a node that becomes a hub. */
 	void forget_total() { _total.reset(); }
 
-	/** A node was lost, or tells its own to another hub. */
+	/** Removes the value of a node that failed or reports to another hub. */
 	void forget(const std::string &p_node) {
 		_peers.erase(p_node);
 		_followers.erase(p_node);
@@ -63,7 +63,7 @@
 
 	const VALUE &get_own() const { return _own; }
 
-	/** This node's own and that of those that rely on it, for other hubs. */
+	/** Sum of the values of this node and its followers, for other hubs. */
 	VALUE get_subtree() const {
 		VALUE sum = _own;
 		for (const auto &[node, value] : _followers) {
@@ -72,7 +72,7 @@
 		return sum;
 	}
 
-	/** Of the fleet, as far as it is known. */
+	/** Sum over the fleet, as far as it is known. */
 	VALUE get_total() const {
 		if (_total) {
 			return *_total;
--- a/servers/membership/list_budget.cpp
+++ b/servers/membership/list_budget.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: list_budget.cpp
- * How much of its link a node spends on telling starting nodes the list of endpoints.
+ * Limits the share of its link that a node uses to send the list of endpoints to nodes that have just started.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -14,44 +14,44 @@
 
 namespace {
 
-/** The rest is for work, answers and heartbeats. */
-constexpr double PART_OF_LINK = 0.5;
-/** What was not spent is kept for so long; one list is always allowed. */
-constexpr double SAVED_SECONDS = 0.25;
-/** A peer that is not ready after this may have lost what it was told. */
-constexpr duration FIRST_PAUSE = std::chrono::milliseconds(1000);
-constexpr duration LONGEST_PAUSE = std::chrono::seconds(8);
+/** The remaining share is for work, answers and heartbeats. */
+constexpr double LINK_SHARE = 0.5;
+/** Unused budget accumulates up to this many seconds' worth. */
+constexpr double MAX_SAVED_SECONDS = 0.25;
+/** A peer that is not ready after this time may have lost the list. The pause doubles with each further list. */
+constexpr duration FIRST_RESEND_PAUSE = std::chrono::milliseconds(1000);
+constexpr duration MAX_RESEND_PAUSE = std::chrono::seconds(8);
 
 } // namespace
 
 list_budget::list_budget(double p_link_bytes) :
-		_bytes_per_second(p_link_bytes * PART_OF_LINK), _left(_bytes_per_second * SAVED_SECONDS) {
+		_bytes_per_second(p_link_bytes * LINK_SHARE), _available_bytes(_bytes_per_second * MAX_SAVED_SECONDS) {
 }
 
 bool list_budget::try_spend(std::size_t p_bytes, instant p_now) {
-	if (_at != instant{}) {
-		_left = std::min(_left + to_seconds(p_now - _at) * _bytes_per_second, _bytes_per_second * SAVED_SECONDS);
+	if (_refilled_at != instant{}) {
+		_available_bytes = std::min(_available_bytes + to_seconds(p_now - _refilled_at) * _bytes_per_second, _bytes_per_second * MAX_SAVED_SECONDS);
 	}
-	_at = p_now;
-	// It may go below zero by one list, and is paid back before the next.
-	if (_left <= 0.0) {
+	_refilled_at = p_now;
+	// One list may overdraw the budget, so that a list of any size can be sent; the next one waits until the deficit is made up.
+	if (_available_bytes <= 0.0) {
 		return false;
 	}
-	_left -= static_cast<double>(p_bytes);
+	_available_bytes -= static_cast<double>(p_bytes);
 	return true;
 }
 
 bool list_budget::try_tell(const std::string &p_peer, std::uint64_t p_incarnation, std::size_t p_bytes, instant p_now) {
-	const auto known = _told.find(p_peer);
-	const bool is_told = known != _told.end() && known->second.incarnation == p_incarnation;
-	if (is_told && p_now - known->second.at < known->second.pause) {
+	const auto known = _sent.find(p_peer);
+	const bool was_sent = known != _sent.end() && known->second.incarnation == p_incarnation;
+	if (was_sent && p_now - known->second.at < known->second.pause) {
 		return false;
 	}
 	if (!try_spend(p_bytes, p_now)) {
 		return false;
 	}
-	const duration pause = is_told ? std::min(known->second.pause * 2, LONGEST_PAUSE) : FIRST_PAUSE;
-	_told[p_peer] = told_list{ p_incarnation, p_now, pause };
+	const duration pause = was_sent ? std::min(known->second.pause * 2, MAX_RESEND_PAUSE) : FIRST_RESEND_PAUSE;
+	_sent[p_peer] = sent_list{ p_incarnation, p_now, pause };
 	return true;
 }
 
--- a/servers/membership/list_guard.h
+++ b/servers/membership/list_guard.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: list_guard.h
- * Distrusts a platform list that shrank implausibly.
+ * Protects the routing table from implausibly short platform lists.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -17,23 +17,23 @@
 namespace calicoscale {
 
 /**
- * Stands between the platform's list and the routing table. New endpoints and leaving marks pass at once. A list that
- * lost more than half of the endpoints known is held back until it has said the same for a while; an empty list never
- * passes. What is kept meanwhile is the list accepted before, joined with what is new.
+ * Filters the platform's list of endpoints for the routing table. New endpoints and leaving marks are applied at once. A list that
+ * lacks more than half of the known endpoints is accepted only after lists have been that short for a minute; an empty list is never
+ * accepted. Until then the endpoints known before are kept and merged with those of the list.
  */
 class list_guard {
 	std::vector<endpoint_listing> _accepted;
-	instant _doubted_since{};
-	bool _doubting = false;
+	instant _rejecting_since{};
+	bool _is_rejecting = false;
 
-	static std::vector<endpoint_listing> _join(const std::vector<endpoint_listing> &p_old, const std::vector<endpoint_listing> &p_new);
+	static std::vector<endpoint_listing> _merge(const std::vector<endpoint_listing> &p_old, const std::vector<endpoint_listing> &p_new);
 
 public:
-	/** Takes a list and returns the one to route by. */
+	/** Processes a list of the platform and returns the one to route by. */
 	std::vector<endpoint_listing> take(const std::vector<endpoint_listing> &p_list, instant p_now);
 
-	/** Whether the last list is being held back. */
-	bool is_doubting() const { return _doubting; }
+	/** Whether the last list was not accepted as it is. */
+	bool is_doubting() const { return _is_rejecting; }
 };
 
 } // namespace calicoscale
--- a/servers/membership/list_request.h
+++ b/servers/membership/list_request.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: list_request.h
- * Whom a node that knows no endpoints asks for them.
+ * Selects the peer from which a node that knows no endpoints requests the list of them.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -17,23 +17,23 @@
 
 namespace calicoscale {
 
-/** A linked node that takes requests and so knows the endpoints. */
+/** A linked node that accepts requests and therefore knows the endpoints. */
 struct list_teller {
 	std::string vm;
-	bool is_near = false; ///< Of the asking node's availability zone.
+	bool is_same_zone = false; ///< In the availability zone of the requesting node.
 	double cores = 1.0;
 };
 
 /**
- * Asks one node after the other, so that a list comes once. The load it answers is a fleet that starts again together: told
- * unasked, each node gets the list from every peer that knows it, and small links are taken by that for seconds. Nodes of the
- * own zone come first, and among those the larger ones, whose links carry more.
+ * Requests the list from one node at a time, so that it is transferred once. It limits the load when a whole fleet restarts at
+ * once: if nodes sent the list without a request, a node would get it from every peer that knows it, which saturates small links for
+ * seconds. Nodes of the own zone are preferred, and among those the larger ones, whose links carry more.
  */
 class list_request {
-	std::string _asked; ///< Whose answer is awaited.
-	instant _asked_at{};
-	duration _patience; ///< Until another node is asked beside the one that does not answer.
-	std::map<std::string, instant> _not_before; ///< Nodes that declined or did not answer.
+	std::string _requested_from; ///< Node whose answer is awaited; empty when none is.
+	instant _requested_at{};
+	duration _answer_timeout; ///< Time after which the list is requested from another node; doubles with each node that doesn't answer.
+	std::map<std::string, instant> _not_before; ///< Earliest time of the next request to a node that declined or didn't answer.
 
 	bool _is_better(const list_teller &p_left, const list_teller &p_right) const;
 
@@ -41,13 +41,13 @@
 	list_request();
 
 	/**
-	 * Whom to ask now.
-	 * @param p_tellers whoever may be asked. @param p_chance from 0 to 1; spreads those who start together.
-	 * @return the node, whose answer is awaited from now on; empty when one is awaited already, or nobody may be asked.
+	 * Selects the node to send a request to now.
+	 * @param p_sources possible sources. @param p_chance random number from 0 to 1, which spreads the requests of nodes that start together.
+	 * @return the node, whose answer is awaited from now on; empty when an answer is awaited already, or no source is available.
 	 */
-	std::string choose(const std::vector<list_teller> &p_tellers, double p_chance, instant p_now);
+	std::string choose(const std::vector<list_teller> &p_sources, double p_chance, instant p_now);
 
-	/** A node does not tell just now. */
+	/** A node declined to send the list for now. */
 	void on_declined(const std::string &p_vm, instant p_now);
 };
 
--- a/servers/membership/member_table.cpp
+++ b/servers/membership/member_table.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: member_table.cpp
- * The entry nodes of the fleet as this node knows them.
+ * Table of the entry nodes of the fleet, as known to this node.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -20,13 +20,13 @@
 
 constexpr std::size_t RING_NEIGHBOURS = 2;
 constexpr std::size_t DIGESTS_PER_HEARTBEAT = 6;
-constexpr std::size_t MOST_DEMANDS = 8;
+constexpr std::size_t MAX_DEMANDS = 8;
 constexpr duration SUSPECT_AFTER_BASE = std::chrono::milliseconds(4000);
-/** A rotation over this many members takes one heartbeat, so silence is judged by the number of rotations. */
+/** Each heartbeat carries the digests of a few members in rotation, so that the time between digests of a member grows with the fleet. */
 constexpr duration SUSPECT_AFTER_PER_MEMBER = std::chrono::milliseconds(60);
 constexpr int GONE_AFTER_FACTOR = 6;
-constexpr int FORGOTTEN_AFTER_FACTOR = 40;
-constexpr std::size_t MOST_MEMBERS = 4096;
+constexpr int ERASED_AFTER_FACTOR = 40;
+constexpr std::size_t MAX_MEMBERS = 4096;
 
 constexpr std::array<enum_name<member_state>, 4> STATE_NAMES{ {
 		{ member_state::ALIVE, "alive" },
@@ -56,11 +56,11 @@
 	_self.ready = p_ready;
 	_self.leaving = _self.leaving || p_leaving;
 	_self.configuration_version = p_configuration_version;
-	while (p_demand.size() > MOST_DEMANDS) {
-		const auto least = std::min_element(p_demand.begin(), p_demand.end(), [](const auto &p_left, const auto &p_right) {
+	while (p_demand.size() > MAX_DEMANDS) {
+		const auto smallest = std::min_element(p_demand.begin(), p_demand.end(), [](const auto &p_left, const auto &p_right) {
 			return p_left.second < p_right.second;
 		});
-		p_demand.erase(least);
+		p_demand.erase(smallest);
 	}
 	_self.demand = std::move(p_demand);
 }
@@ -97,13 +97,13 @@
 void member_table::take_digests(const std::vector<member_digest> &p_digests, instant p_now) {
 	for (const member_digest &digest : p_digests) {
 		if (digest.vm == _self.vm) {
-			// After the clock stepped back an earlier life of this VM would count as the newer one.
+			// After the wall clock stepped back, an earlier incarnation of this VM would count as the newer one.
 			_self.incarnation = std::max(_self.incarnation, digest.incarnation > _self.incarnation ? digest.incarnation + 1 : 0);
 			continue;
 		}
 		const auto found = _members.find(digest.vm);
 		if (found == _members.end()) {
-			if (_members.size() >= MOST_MEMBERS) {
+			if (_members.size() >= MAX_MEMBERS) {
 				continue;
 			}
 			const member_state state = digest.leaving ? member_state::LEAVING : member_state::ALIVE;
@@ -115,8 +115,8 @@
 		if (!is_newer(digest, known.digest)) {
 			continue;
 		}
-		const bool same_life = digest.incarnation == known.digest.incarnation;
-		const bool leaving = digest.leaving || (same_life && known.digest.leaving);
+		const bool is_same_incarnation = digest.incarnation == known.digest.incarnation;
+		const bool leaving = digest.leaving || (is_same_incarnation && known.digest.leaving);
 		known.digest = digest;
 		known.digest.leaving = leaving;
 		known.heard_at = p_now;
@@ -173,9 +173,9 @@
 			_set_state(entry, member_state::SUSPECT);
 		}
 	}
-	// A listed member is kept even when silent: links to it go on being tried, so a healed cut needs no operator.
+	// A listed member is kept even when it is silent: links to it are still attempted, so that no operator is needed after a partition.
 	std::erase_if(_members, [p_now, suspect_after](const auto &p_entry) {
-		return !p_entry.second.listed && p_now - p_entry.second.heard_at >= suspect_after * FORGOTTEN_AFTER_FACTOR;
+		return !p_entry.second.listed && p_now - p_entry.second.heard_at >= suspect_after * ERASED_AFTER_FACTOR;
 	});
 }
 
--- a/servers/membership/member_table.h
+++ b/servers/membership/member_table.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: member_table.h
- * The entry nodes of the fleet as this node knows them.
+ * Table of the entry nodes of the fleet, as known to this node.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -21,22 +21,22 @@
 
 namespace calicoscale {
 
-/** How a member stands. */
+/** State of a member. */
 enum class member_state {
 	ALIVE,
-	SUSPECT, ///< Not heard of for a while; counts still, but its grant has expired.
-	LEAVING, ///< Said that it stops.
-	GONE, ///< Not heard of for long, or off the platform's list.
+	SUSPECT, ///< No newer heartbeat for some time; the member still counts for sharing limits, but its grant has expired.
+	LEAVING, ///< The member announced that it stops.
+	GONE, ///< No newer heartbeat for a long time.
 };
 
 /** Name of a state, e.g. "suspect". */
 std::string_view get_name(member_state p_state);
 
-/** What a node says of itself; relayed by others unchanged. */
+/** State that a node publishes about itself; other nodes relay it unchanged. */
 struct member_digest {
 	std::string vm;
 	std::uint64_t incarnation = 0;
-	std::uint64_t heartbeat = 0; ///< Rises while the node lives; the newer digest has the higher one.
+	std::uint64_t heartbeat = 0; ///< Rises while the node runs, so that the newer digest has the higher number.
 	std::string zone;
 	std::string region;
 	network_address link;
@@ -44,9 +44,9 @@
 	bool ready = false;
 	bool leaving = false;
 	std::uint64_t configuration_version = 0;
-	customer_demands demand; ///< The largest ones.
-	double cores = 1.0; ///< Share of a processor core, or cores, that the node may use.
-	bool hub = false; ///< It carries the control traffic of its zone.
+	customer_demands demand; ///< The largest demands only.
+	double cores = 1.0; ///< Processor cores that the node may use; may be a fraction.
+	bool hub = false; ///< Whether the node carries the control traffic of its zone.
 };
 
 /** An entry node on the platform's list. */
@@ -58,27 +58,27 @@
 	bool leaving = false;
 };
 
-/** A member with what was observed of it here. */
+/** A member, with what this node observed of it. */
 struct member {
 	member_digest digest;
 	member_state state = member_state::ALIVE;
-	instant heard_at{}; ///< When a newer heartbeat was last seen.
-	bool listed = false;
+	instant heard_at{}; ///< When a newer heartbeat was last received.
+	bool listed = false; ///< Whether it is on the platform's list.
 };
 
-/** A change of a member's state, for logs and the time line. */
+/** A change of a member's state, for logs and the timeline. */
 struct member_change {
 	std::string vm;
 	member_state state = member_state::ALIVE;
 };
 
 /**
- * Members by VM name. A digest with a higher (incarnation, heartbeat) replaces a lower one; leaving is one way for an
- * incarnation. Each node talks to a fixed number of neighbours and sends them a bounded number of digests, so the cost
- * of a node does not grow with the fleet; what grows is the time a digest takes to get around, and the time-outs with it.
+ * Members by VM name. A digest with a higher (incarnation, heartbeat) replaces a lower one; within an incarnation the leaving flag is
+ * never reset. Each node sends a bounded number of digests to a fixed number of neighbours, so that the cost per node doesn't grow
+ * with the fleet. The time until a digest has reached all nodes does grow, and the time-outs grow with it.
  */
 class member_table {
-	std::map<std::string, member> _members; ///< Without the own VM.
+	std::map<std::string, member> _members; ///< Excludes the own VM.
 	member_digest _self;
 	std::size_t _rotation = 0;
 	std::vector<member_change> _changes;
@@ -89,31 +89,31 @@
 public:
 	explicit member_table(member_digest p_self);
 
-	/** Changes what this node says of itself. */
+	/** Updates the digest of this node. p_leaving can't be reset; only the largest demands are kept. */
 	void update_self(bool p_ready, bool p_leaving, std::uint64_t p_configuration_version, customer_demands p_demand);
 
-	/** Says whether this node is a hub of its zone. */
+	/** Sets whether this node is a hub of its zone. */
 	void set_hub(bool p_is_hub) { _self.hub = p_is_hub; }
 
-	/** Raises the own heartbeat and returns the digests to send: the own first, then a bounded rotation of others. */
+	/** Increments the own heartbeat and returns the digests to send: the own first, then a bounded number of others in rotation. */
 	std::vector<member_digest> make_heartbeat();
 
-	/** Raises the own heartbeat and returns the own digest alone, for receivers that hear of others otherwise. */
+	/** Increments the own heartbeat and returns the own digest alone, for receivers that get those of others in another way. */
 	std::vector<member_digest> make_own_heartbeat();
 
-	/** Takes in digests from a peer. */
+	/** Merges digests received from a peer. */
 	void take_digests(const std::vector<member_digest> &p_digests, instant p_now);
 
-	/** Takes in the platform's list of entry nodes. An empty one changes nothing. */
+	/** Applies the platform's list of entry nodes. An empty list changes nothing. */
 	void take_listings(const std::vector<entry_listing> &p_listings, instant p_now);
 
-	/** Lets time pass: suspects and removes the silent. */
+	/** Updates the states of members that are silent, and erases unlisted ones after a long time. */
 	void tick(instant p_now);
 
-	/** Nodes to keep a link to: the next few on a ring of hashed names, and one of another zone. */
+	/** Returns the nodes to which to keep a link: the next few on a ring of hashed names, and one of another zone. */
 	std::vector<std::string> choose_neighbours() const;
 
-	/** All nodes that count for sharing limits, the own one first. */
+	/** Returns all nodes that count for sharing limits, the own one first. */
 	std::vector<share_member> get_share_members(instant p_now) const;
 
 	/** Time after which a silent member is suspected; grows with the size of the fleet. */
@@ -122,10 +122,10 @@
 	const member_digest &get_self() const { return _self; }
 	const std::map<std::string, member> &get_members() const { return _members; }
 
-	/** Member by VM; nullptr when unknown. */
+	/** Returns the member with a VM name; nullptr when unknown. */
 	const member *find(const std::string &p_vm) const;
 
-	/** Hands out the changes since the last call. */
+	/** Returns the changes since the last call. */
 	std::vector<member_change> take_changes();
 };
 
--- a/servers/membership/peer_contacts.h
+++ b/servers/membership/peer_contacts.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: peer_contacts.h
- * When each peer was heard, when it is to be told something, and what it was told of endpoints.
+ * Last contact with each peer, schedule of heartbeats to it, and the endpoint updates sent to it.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -21,86 +21,87 @@
 
 namespace calicoscale {
 
-/** An endpoint that leaves, or whose entry went. */
+/** Update about an endpoint that leaves or whose entry was removed. */
 struct endpoint_news {
 	endpoint_identity endpoint;
-	bool is_gone = false; ///< Its entry went; else it leaves.
+	bool is_gone = false; ///< True: its entry was removed; false: it leaves.
 };
 
 /**
- * Contacts with all peers. Nodes that dispatch pools and all others tell each other often; nodes that dispatch none depend
- * little on each other and talk seldom. Each peer is told each news once, and one that is linked anew what is recent.
- * Told the time with each call.
+ * Contacts with all peers. Heartbeats are sent at a short interval if one of the two nodes dispatches pools; nodes that dispatch none
+ * depend little on each other and use a longer interval. Each peer is sent each update once, and after its link was made anew all
+ * updates that haven't expired. The caller passes the current time.
  */
 class peer_contacts {
 	struct contact {
 		instant heard_at{};
-		duration next_in = duration::zero(); ///< Between its heartbeats to this node, as it told.
+		duration next_in = duration::zero(); ///< Interval of its heartbeats to this node, as it reported.
 		instant sent_at{};
-		bool told_close = false; ///< It was told to expect the next heartbeat soon.
-		instant wanted_at{}; ///< When it last said that it needs the link.
-		instant relied_at{}; ///< When it last said that it relies on this node.
-		std::uint64_t told_news = 0; ///< Number of the last news it was told.
+		bool announced_short_interval = false; ///< The last heartbeat to it announced the short interval.
+		instant link_needed_at{}; ///< When it last reported that it needs the link.
+		instant followed_at{}; ///< When it last reported that it follows this node.
+		std::uint64_t sent_update_number = 0; ///< Number of the last update sent to it.
 	};
 
 	struct numbered_news {
 		std::uint64_t number = 0;
-		endpoint_news news;
-		instant told_until{};
+		endpoint_news update;
+		instant expires_at{};
 	};
 
 	std::map<std::string, contact> _contacts;
-	std::deque<numbered_news> _news;
-	std::uint64_t _next_news = 1;
+	std::deque<numbered_news> _updates;
+	std::uint64_t _next_update_number = 1;
 
 	static duration _get_silence(const contact &p_contact);
 	const contact *_find(const std::string &p_peer) const;
 
 public:
-	/** Between heartbeats to a peer. @param p_is_close one of the two dispatches pools. */
-	static duration get_interval(bool p_is_close);
+	/** Interval of heartbeats to a peer. @param p_at_short_interval whether one of the two nodes dispatches pools. */
+	static duration get_interval(bool p_at_short_interval);
 
-	/** A heartbeat came, and the next will after a time; zero when the peer did not tell. */
+	/** A heartbeat was received. @param p_next_in time until the next one as reported by the peer; zero when it reported none. */
 	void on_heard(const std::string &p_peer, duration p_next_in, instant p_now);
 
-	/** Whether a peer was heard just now, given how often it beats. */
+	/** Whether a peer is responsive: its last heartbeat is recent, given its interval. */
 	bool is_heard(const std::string &p_peer, instant p_now) const;
 
-	/** This node stood still: what it did not hear meanwhile is no silence of its peers. */
-	void forgive(duration p_absence);
+	/** Extends all deadlines by a stall of this process, in which it couldn't receive heartbeats of its peers. */
+	void forgive(duration p_stall);
 
-	/** Peers silent for so long that their links are not worth keeping. */
+	/** Returns the peers that have been silent for so long that their links are to be closed. */
 	std::vector<std::string> get_dead(instant p_now) const;
 
-	/** A link to a peer is new: it may have missed everything. */
+	/** A link to a peer was established. The peer may have missed all updates, so all are sent again. */
 	void on_linked(const std::string &p_peer);
 
-	/** A heartbeat said whether the peer needs this link, and whether it relies on this node to know the fleet. */
-	void on_needs(const std::string &p_peer, bool p_wants_link, bool p_relies, instant p_now);
+	/** A heartbeat reported whether the peer needs this link, and whether it follows this node to know the fleet. */
+	void on_needs(const std::string &p_peer, bool p_needs_link, bool p_follows, instant p_now);
 
-	/** Whether a peer needs the link to this node, as it said not long ago. */
+	/** Whether a peer recently reported that it needs the link to this node. */
 	bool is_wanted(const std::string &p_peer, instant p_now) const;
 
-	/** Whether a peer relies on this node, as it said not long ago. */
+	/** Whether a peer recently reported that it follows this node. */
 	bool is_relied_on(const std::string &p_peer, instant p_now) const;
 
-	/** Peers that rely on this node. */
+	/** Returns the peers that follow this node. */
 	std::vector<std::string> get_followers(instant p_now) const;
 
 	/**
-	 * Whether a heartbeat to a peer is due: for the time, for news, or as the next one will come later than the peer expects.
-	 * @param p_tells_news the peer is told news.
+	 * Whether a heartbeat to a peer is due: because its interval has passed, because there are updates, or because the last one
+	 * announced a shorter interval than the one that applies from now on.
+	 * @param p_receives_updates whether the peer is sent updates.
 	 */
-	bool is_due(const std::string &p_peer, bool p_is_close, bool p_tells_news, instant p_now) const;
+	bool is_due(const std::string &p_peer, bool p_at_short_interval, bool p_receives_updates, instant p_now) const;
 
-	/** A heartbeat goes out now. @return the news that belong into it. */
-	std::vector<endpoint_news> on_sent(const std::string &p_peer, bool p_is_close, bool p_tells_news, instant p_now);
+	/** Records that a heartbeat is sent now. @return the updates to include in it. */
+	std::vector<endpoint_news> on_sent(const std::string &p_peer, bool p_at_short_interval, bool p_receives_updates, instant p_now);
 
-	/** Something to tell all peers. */
-	void add_news(endpoint_news p_news, instant p_now);
+	/** Adds an update to be sent to all peers. */
+	void add_news(endpoint_news p_update, instant p_now);
 
-	/** Forgets what is old, and what is not true any more. */
-	void forget_news(const std::function<bool(const endpoint_news &)> &p_is_over, instant p_now);
+	/** Removes updates that have expired or are no longer true. */
+	void forget_news(const std::function<bool(const endpoint_news &)> &p_is_obsolete, instant p_now);
 };
 
 } // namespace calicoscale
--- a/servers/membership/peer_loss.h
+++ b/servers/membership/peer_loss.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: peer_loss.h
- * Why a node takes another one for lost.
+ * Why a node considers another one failed.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -14,7 +14,7 @@
 
 namespace calicoscale {
 
-/** What told of a loss. Between nodes that need no link, silence says nothing: heartbeats end, then the link is closed. */
+/** How the failure of a peer was detected. Between nodes that need no link, silence is no sign of a failure: heartbeats cease, then the link is closed. */
 enum class peer_loss {
 	LINK_BROKEN,
 	SILENT,
--- a/servers/membership/reading_order.cpp
+++ b/servers/membership/reading_order.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: reading_order.cpp
- * In which order the nodes of a zone read the store while no peer can tell them.
+ * Order in which the nodes of a zone read the store while no peer can send them the list.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
--- a/servers/membership/reading_order.h
+++ b/servers/membership/reading_order.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: reading_order.h
- * In which order the nodes of a zone read the store while no peer can tell them.
+ * Order in which the nodes of a zone read the store while no peer can send them the list.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,9 +18,9 @@
 namespace calicoscale {
 
 /**
- * Place of a node among those of its zone: the larger ones first, by a hash within each, the same for all that know the same
- * nodes. Each place waits longer than the one before, so that few read a long list from the store at once, however large the
- * fleet is, and whoever read it tells the others.
+ * Returns the position of a node in the reading order of its zone, from 0: the larger nodes come first, and equally large ones are
+ * ordered by a hash, so that all nodes with the same view agree. Each position waits longer than the one before. Thus few nodes read
+ * a long list from the store at once, however large the fleet is, and those that have read it send it to the others.
  */
 std::size_t find_reading_place(const std::string &p_vm, const std::vector<overlay_node> &p_zone_nodes);
 
--- a/servers/membership/store_cover.cpp
+++ b/servers/membership/store_cover.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: store_cover.cpp
- * Which nodes read the store for others, and whether others do so for this one.
+ * Selects the node of a zone that reads the store for others, and decides whether this node may rely on others to read it.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -16,10 +16,10 @@
 
 namespace {
 
-/** A follower's silence must be noticed well within the time that a change may take: three beats and some delay. */
-constexpr duration LONGEST_BEAT = std::chrono::milliseconds(250);
-/** A follower's version is asked for at once and told within a round trip; one that does not come is read from the store. */
-constexpr duration LONGEST_BEHIND = std::chrono::milliseconds(400);
+/** The failure of a peer, noticed after three heartbeats and some delay, must be noticed well within the time that a change may take to spread. */
+constexpr duration MAX_HEARTBEAT_INTERVAL = std::chrono::milliseconds(250);
+/** A newer version of a peer is requested at once and received within a round trip; one that isn't received in this time is read from the store. */
+constexpr duration MAX_BEHIND_TIME = std::chrono::milliseconds(400);
 
 } // namespace
 
@@ -37,17 +37,17 @@
 }
 
 bool store_cover::on_heartbeat(const std::string &p_peer, bool p_follows, duration p_next_in, std::uint64_t p_version) {
-	claim &entry = _claims[p_peer];
+	peer_state &entry = _peers[p_peer];
 	const bool has_stopped = entry.follows && !p_follows;
-	entry = claim{ p_follows, p_next_in, p_version };
+	entry = peer_state{ p_follows, p_next_in, p_version };
 	return has_stopped;
 }
 
-bool store_cover::is_covered(std::uint64_t p_version, const std::function<bool(const std::string &)> &p_is_heard, instant p_now) {
+bool store_cover::is_covered(std::uint64_t p_version, const std::function<bool(const std::string &)> &p_is_responsive, instant p_now) {
 	bool is_followed = false;
 	bool is_behind = false;
-	for (const auto &[peer, entry] : _claims) {
-		if (!entry.follows || entry.next_in == duration::zero() || entry.next_in > LONGEST_BEAT || !p_is_heard(peer)) {
+	for (const auto &[peer, entry] : _peers) {
+		if (!entry.follows || entry.next_in == duration::zero() || entry.next_in > MAX_HEARTBEAT_INTERVAL || !p_is_responsive(peer)) {
 			continue;
 		}
 		is_followed = true;
@@ -60,7 +60,7 @@
 	if (_behind_since == instant{}) {
 		_behind_since = p_now;
 	}
-	return p_now - _behind_since < LONGEST_BEHIND;
+	return p_now - _behind_since < MAX_BEHIND_TIME;
 }
 
 } // namespace calicoscale
--- a/servers/membership/store_cover.h
+++ b/servers/membership/store_cover.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: store_cover.h
- * Which nodes read the store for others, and whether others do so for this one.
+ * Selects the node of a zone that reads the store for others, and decides whether this node may rely on others to read it.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -21,35 +21,36 @@
 namespace calicoscale {
 
 /**
- * The node of a zone that reads the store for the others, chosen by hashing names, so that nodes with the same view agree.
- * Views may differ: with two readers calls are wasted, with none each node reads for itself.
+ * Returns the node of a zone that reads the store for the others, chosen by hashing names, so that nodes with the same view agree.
+ * When views differ, two readers only cost additional calls, and without a reader each node reads the store itself. Empty without nodes.
  */
 std::string choose_reader(std::string_view p_zone, const std::vector<std::string> &p_nodes);
 
 /**
- * Whether this node may leave the configuration to peers that follow it in the store. A follower says so in each heartbeat;
- * one that the store does not answer in time stops to say so.
+ * Decides whether this node may leave it to peers to read the configuration from the store. A peer that follows the configuration in
+ * the store reports so in each heartbeat, and ceases to when the store doesn't answer it in time.
  */
 class store_cover {
-	struct claim {
+	struct peer_state {
 		bool follows = false;
-		duration next_in = duration::zero(); ///< Between its heartbeats.
+		duration next_in = duration::zero(); ///< Interval of its heartbeats; zero when it reports none.
 		std::uint64_t version = 0;
 	};
 
-	std::map<std::string, claim> _claims; ///< By peer.
-	instant _behind_since{}; ///< Since when a follower has a higher version than this node.
+	std::map<std::string, peer_state> _peers; ///< By peer.
+	instant _behind_since{}; ///< Since when a peer that follows the store has a higher version than this node; instant{} when none has.
 
 public:
-	/** A peer's heartbeat came. @return whether the peer has stopped to follow. */
+	/** A heartbeat of a peer was received. @return whether the peer has ceased to follow the store. */
 	bool on_heartbeat(const std::string &p_peer, bool p_follows, duration p_next_in, std::uint64_t p_version);
 
 	/**
-	 * Whether a peer that is heard follows, beats often enough for its silence to be noticed, and has told its version.
-	 * @param p_version in force here.
-	 * @param p_is_heard whether a peer was heard just now.
+	 * Whether a responsive peer follows the store and sends heartbeats often enough that its failure is noticed in time, and this node
+	 * hasn't been behind such a peer's version for too long.
+	 * @param p_version version in force on this node.
+	 * @param p_is_responsive whether a peer is responsive.
 	 */
-	bool is_covered(std::uint64_t p_version, const std::function<bool(const std::string &)> &p_is_heard, instant p_now);
+	bool is_covered(std::uint64_t p_version, const std::function<bool(const std::string &)> &p_is_responsive, instant p_now);
 };
 
 } // namespace calicoscale
--- a/servers/membership/told_fleet.h
+++ b/servers/membership/told_fleet.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: told_fleet.h
- * What a node that is no hub was told of the rest of the fleet.
+ * State of the fleet as reported by a hub to a node that is no hub.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -20,35 +20,35 @@
 namespace calicoscale {
 
 /**
- * Who dispatches and how many nodes live, as a hub told last, corrected by what this node sees on its own links: a hub
- * notices a loss within a second, a broken link tells of it at once. Told the time with each call.
+ * The dispatchers and the number of running nodes as a hub last reported them, corrected by the state of this node's own links: a hub
+ * notices a failure within a second, while a broken link shows it at once. The caller passes the current time.
  */
 class told_fleet {
 	std::vector<std::string> _dispatchers; ///< Sorted by name.
-	std::size_t _nodes = 0;
-	std::set<std::string> _lost; ///< Dispatchers that a hub tells of no more, until they are heard here again.
+	std::size_t _node_count = 0;
+	std::set<std::string> _failed; ///< Failed dispatchers: a hub reports them no longer, and this node had no contact since.
 	std::map<std::string, instant> _down_at; ///< When the link to a node broke.
 
 public:
-	/** A hub told. @return nodes that it told of before and does not any more. */
-	std::vector<std::string> take(std::vector<std::string> p_dispatchers, std::size_t p_nodes);
+	/** Applies a hub's report. @return dispatchers that the previous report had and this one lacks. */
+	std::vector<std::string> take(std::vector<std::string> p_dispatchers, std::size_t p_node_count);
 
-	/** A node was heard, or its link was made. */
+	/** A heartbeat of a node was received, or its link was established. */
 	void on_heard(const std::string &p_vm);
 
 	/** The link to a node broke. */
 	void on_link_down(const std::string &p_vm, instant p_now) { _down_at[p_vm] = p_now; }
 
-	/** A dispatcher that the hub tells of no more, and that is not just stopping, is lost. */
-	void set_lost(const std::string &p_vm) { _lost.insert(p_vm); }
+	/** Records the failure of a dispatcher that the hub reports no longer and that isn't merely stopping. */
+	void set_lost(const std::string &p_vm) { _failed.insert(p_vm); }
 
-	bool is_lost(const std::string &p_vm) const { return _lost.contains(p_vm); }
+	bool is_lost(const std::string &p_vm) const { return _failed.contains(p_vm); }
 
-	/** Whether the link to a node broke so lately that a hub may not know of it. */
+	/** Whether the link to a node broke so recently that a hub may not have noticed the failure. */
 	bool is_down(const std::string &p_vm, instant p_now) const;
 
 	const std::vector<std::string> &get_dispatchers() const { return _dispatchers; }
-	std::size_t get_nodes() const { return _nodes; }
+	std::size_t get_nodes() const { return _node_count; }
 };
 
 } // namespace calicoscale
