--- a/servers/ledger/cost_ledger.cpp
+++ b/servers/ledger/cost_ledger.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: cost_ledger.cpp
- * What this node owes the ledger: costs summed up until an append is confirmed.
+ * Sums up the costs of this node until their append to the ledger is confirmed.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -16,7 +16,7 @@
 
 using json = nlohmann::json;
 
-constexpr std::size_t LARGEST_ENTRY = 4 * 1024 * 1024;
+constexpr std::size_t MAX_ENTRY_BYTES = 4 * 1024 * 1024;
 
 } // namespace
 
@@ -31,13 +31,13 @@
 }
 
 void cost_ledger::book(const cost_key &p_key, const cost_sum &p_sum) {
-	_gathered[p_key].add(p_sum);
+	_unsent[p_key].add(p_sum);
 }
 
 const ledger_entry *cost_ledger::get_entry(unix_milliseconds p_wall) {
-	if (!_sending && !_gathered.empty()) {
-		_sending = ledger_entry{ _incarnation, _next_sequence++, _vm, p_wall, std::move(_gathered) };
-		_gathered.clear();
+	if (!_sending && !_unsent.empty()) {
+		_sending = ledger_entry{ _incarnation, _next_sequence++, _vm, p_wall, std::move(_unsent) };
+		_unsent.clear();
 	}
 	return _sending ? &*_sending : nullptr;
 }
@@ -49,7 +49,7 @@
 }
 
 std::size_t cost_ledger::get_row_count() const {
-	return _gathered.size() + (_sending ? _sending->rows.size() : 0);
+	return _unsent.size() + (_sending ? _sending->rows.size() : 0);
 }
 
 std::string encode(const ledger_entry &p_entry) {
@@ -67,7 +67,7 @@
 }
 
 std::optional<ledger_entry> decode_ledger_entry(std::string_view p_bytes) {
-	if (p_bytes.size() > LARGEST_ENTRY) {
+	if (p_bytes.size() > MAX_ENTRY_BYTES) {
 		return std::nullopt;
 	}
 	const json record = json::parse(p_bytes, nullptr, false);
--- a/servers/ledger/cost_ledger.h
+++ b/servers/ledger/cost_ledger.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: cost_ledger.h
- * What this node owes the ledger: costs summed up until an append is confirmed.
+ * Sums up the costs of this node until their append to the ledger is confirmed.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -20,7 +20,7 @@
 
 namespace calicoscale {
 
-/** What costs are told apart by. */
+/** Properties by which costs are broken down. */
 struct cost_key {
 	std::string customer;
 	std::string pipeline;
@@ -30,7 +30,7 @@
 	auto operator<=>(const cost_key &p_other) const = default;
 };
 
-/** A sum of costs. Whole numbers, so that sums do not depend on their order. */
+/** A sum of costs, in integers so that it doesn't depend on the order of addition. */
 struct cost_sum {
 	std::int64_t micro_units = 0; ///< Millionths of the endpoint's unit.
 	std::int64_t micro_cost = 0; ///< Millionths of the currency unit.
@@ -39,10 +39,9 @@
 	bool operator==(const cost_sum &p_other) const = default;
 };
 
-/** Costs by key. */
 using cost_table = std::map<cost_key, cost_sum>;
 
-/** One record of the ledger stream. */
+/** One record of the ledger stream, identified by (incarnation, sequence). */
 struct ledger_entry {
 	std::uint64_t incarnation = 0;
 	std::uint64_t sequence = 0;
@@ -52,39 +51,39 @@
 };
 
 /**
- * Gathers costs and hands out entries for appending, one at a time. An entry keeps its (incarnation, sequence) until
- * its append is confirmed, so it may be appended any number of times; the fold counts it once. While the log is down
- * new costs merge into the next entry, so memory is bounded by the number of keys.
+ * Accumulates costs and returns entries to append to the ledger, one at a time. An entry keeps its (incarnation, sequence) until its
+ * append is confirmed, so that it may be appended any number of times while ledger_fold counts it once. While the log is unavailable,
+ * new costs are added to the next entry, so that memory is bounded by the number of keys.
  */
 class cost_ledger {
 	std::string _vm;
 	std::uint64_t _incarnation;
 	std::uint64_t _next_sequence = 1;
-	cost_table _gathered;
+	cost_table _unsent;
 	std::optional<ledger_entry> _sending;
 
 public:
 	cost_ledger(std::string p_vm, std::uint64_t p_incarnation);
 
-	/** Books one cost. */
+	/** Adds a cost. */
 	void book(const cost_key &p_key, const cost_sum &p_sum);
 
-	/** The entry to append now; the same one again until on_append_ended confirms it. Empty when nothing is owed. */
+	/** Returns the entry to append now: the same one until on_append_ended() confirms it. nullptr when there is nothing to append. @param p_wall time written into a new entry. */
 	const ledger_entry *get_entry(unix_milliseconds p_wall);
 
-	/** The append of the entry ended. */
+	/** Records the result of an append; any result but DONE leaves the entry to be appended again. */
 	void on_append_ended(append_result p_result);
 
-	/** Whether anything is not yet confirmed. */
-	bool owes() const { return _sending.has_value() || !_gathered.empty(); }
+	/** Whether there are costs whose append is not confirmed yet. */
+	bool owes() const { return _sending.has_value() || !_unsent.empty(); }
 
-	/** Rows not yet confirmed. */
+	/** Number of rows whose append is not confirmed yet. */
 	std::size_t get_row_count() const;
 };
 
-/** Form of an entry on the log. */
+/** Encodes an entry as JSON, as stored in the log. */
 std::string encode(const ledger_entry &p_entry);
-/** Reads an entry; empty when malformed. */
+/** Decodes an entry; empty when malformed or larger than 4 MiB. */
 std::optional<ledger_entry> decode_ledger_entry(std::string_view p_bytes);
 
 } // namespace calicoscale
--- a/servers/ledger/ledger_fold.h
+++ b/servers/ledger/ledger_fold.h
@@ -15,14 +15,15 @@
 
 namespace calicoscale {
 
-/** Totals over the entries read so far. */
+/** Sums up the records of the ledger stream. A repeated (incarnation, sequence) is counted once. */
 class ledger_fold {
+	/** Sequence numbers read of one incarnation. */
 	struct seen_sequences {
-		std::uint64_t all_up_to = 0;
-		std::set<std::uint64_t> beyond;
+		std::uint64_t all_up_to = 0; ///< All numbers from 1 up to this one were read.
+		std::set<std::uint64_t> beyond; ///< Numbers read beyond the first gap.
 	};
 
-	std::map<std::uint64_t, seen_sequences> _seen;
+	std::map<std::uint64_t, seen_sequences> _seen; ///< By incarnation.
 	cost_table _totals;
 	std::uint64_t _entries = 0;
 	std::uint64_t _repeated = 0;
@@ -31,7 +32,7 @@
 	bool _is_new(std::uint64_t p_incarnation, std::uint64_t p_sequence);
 
 public:
-	/** Takes in one record. */
+	/** Adds one encoded record; counts repeated and malformed ones without adding them. */
 	void take(std::string_view p_bytes);
 
 	const cost_table &get_totals() const { return _totals; }
--- a/servers/load/replica_pace.h
+++ b/servers/load/replica_pace.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: replica_pace.h
- * How much longer than usual work takes at one replica.
+ * Estimates by which factor one replica is slower than typical.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -14,36 +14,37 @@
 namespace calicoscale {
 
 /**
- * Of two parts: what its calls were seen to take beyond what was expected, which fades over seconds, and what it tells itself of
- * the machine that it shares with others, which holds for some tenths of a second only. What it told explains a part of what its
- * calls took, so that a replica that shares its machine is not taken for a slow one.
+ * The factor by which calls at a replica take longer than typical. It is the product of two factors: an estimate from the measured
+ * times of its calls, which decays over seconds, and a factor that the replica reports about the hardware that it shares with others,
+ * which decays within some tenths of a second. The reported factor is divided out of the measured times, so that a replica whose
+ * hardware is busy for a moment isn't estimated to be slow by itself.
  */
 class replica_pace {
-	double _learnt = 1.0;
-	instant _learnt_at{};
-	double _told = 1.0;
-	instant _told_at{};
+	double _estimated = 1.0;
+	instant _estimated_at{};
+	double _reported = 1.0;
+	instant _reported_at{};
 
-	double _get_learnt(instant p_now) const;
+	double _get_estimated(instant p_now) const;
 
 public:
-	/** Time of a call over the usual one that is believed. */
-	static constexpr double HIGHEST = 20.0;
+	/** Upper bound of each of the two factors. */
+	static constexpr double MAX_FACTOR = 20.0;
 
-	/** The replica told how long work takes there right now; 1 is as usual. */
+	/** Records the factor that the replica reported for the present; 1 is typical. */
 	void tell(double p_factor, instant p_now);
 
-	/** Of what the replica told, what still holds; 1 when that is nothing. */
+	/** Returns the reported factor, decayed towards 1. */
 	double get_told(instant p_now) const;
 
-	/** A call ended. @param p_sample its time over the expected one. @param p_told_before what get_told() was as it began. */
-	void learn(double p_sample, double p_told_before, instant p_now);
+	/** Updates the estimate from a completed call. @param p_sample its time divided by the expected time. @param p_reported_before get_told() when the call began. */
+	void learn(double p_sample, double p_reported_before, instant p_now);
 
-	/** A call takes far longer than expected. @param p_least over the expected time. */
-	void note_overrun(double p_least, instant p_now);
+	/** Raises the estimate while a call takes far longer than expected. @param p_min_factor elapsed time divided by the expected time. */
+	void note_overrun(double p_min_factor, instant p_now);
 
-	/** Time that a call takes now, over the usual one. */
-	double get(instant p_now) const { return _get_learnt(p_now) * get_told(p_now); }
+	/** Returns the current factor: expected time of a call divided by the typical time. */
+	double get(instant p_now) const { return _get_estimated(p_now) * get_told(p_now); }
 };
 
 } // namespace calicoscale
--- a/servers/load/write_budget.cpp
+++ b/servers/load/write_budget.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: write_budget.cpp
- * Bounds what a node holds for callers that read slowly.
+ * Limits the memory used for output to callers that read slowly.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -14,14 +14,14 @@
 
 namespace {
 
-/** Connections that may each take as much as the newest one, before the whole is used up. */
-constexpr std::size_t PARTS_OF_REST = 16;
+/** A connection may buffer this fraction of the free capacity, so that at least as many connections can do so before it is used up. */
+constexpr std::size_t FREE_CAPACITY_PARTS = 16;
 
 } // namespace
 
 std::size_t write_budget::get_share() const {
-	const std::size_t rest = _most - std::min(_most, _held);
-	return std::clamp(rest / PARTS_OF_REST, LEAST_SHARE, LARGEST_SHARE);
+	const std::size_t free_bytes = _max_bytes - std::min(_max_bytes, _buffered_bytes);
+	return std::clamp(free_bytes / FREE_CAPACITY_PARTS, LEAST_SHARE, LARGEST_SHARE);
 }
 
 } // namespace calicoscale
--- a/servers/load/write_budget.h
+++ b/servers/load/write_budget.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: write_budget.h
- * Bounds what a node holds for callers that read slowly.
+ * Limits the memory used for output to callers that read slowly.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -14,37 +14,37 @@
 namespace calicoscale {
 
 /**
- * Counts the bytes that wait to be written to callers. A connection that holds its share is full, and its source is not read
- * until half of that is written. The share shrinks as the whole fills up, so that a few slow readers may hold much and many of
- * them little each.
+ * Counts the bytes that wait to be written to callers. A connection that buffers more than its share is full, and its source isn't
+ * read until the buffer has shrunk to half of the share. The share shrinks as the total grows, so that a few slow readers may have
+ * large buffers, and many slow readers small ones.
  */
 class write_budget {
-	std::size_t _most;
-	std::size_t _held = 0;
+	std::size_t _max_bytes;
+	std::size_t _buffered_bytes = 0;
 
 public:
 	static constexpr std::size_t LARGEST_SHARE = 64UL * 1024;
-	/** One event of a stream fits in, so that each reader goes on. */
+	/** Fits one event of a stream, so that each reader makes progress. */
 	static constexpr std::size_t LEAST_SHARE = 2UL * 1024;
-	/** Where nobody knows how much memory there is. */
+	/** Used when the amount of memory is unknown. */
 	static constexpr std::size_t USUAL_MOST = 256UL * 1024 * 1024;
 
-	/** @param p_most bytes for all connections together. */
-	explicit write_budget(std::size_t p_most = USUAL_MOST) :
-			_most(p_most) {}
+	/** @param p_max_bytes maximum number of bytes for all connections together. */
+	explicit write_budget(std::size_t p_max_bytes = USUAL_MOST) :
+			_max_bytes(p_max_bytes) {}
 
-	void add(std::size_t p_bytes) { _held += p_bytes; }
-	void remove(std::size_t p_bytes) { _held -= p_bytes < _held ? p_bytes : _held; }
+	void add(std::size_t p_bytes) { _buffered_bytes += p_bytes; }
+	void remove(std::size_t p_bytes) { _buffered_bytes -= p_bytes < _buffered_bytes ? p_bytes : _buffered_bytes; }
 
-	/** Bytes that a connection may hold before its source is to wait. */
+	/** Number of bytes that a connection may buffer before its source has to wait. */
 	std::size_t get_share() const;
 
 	bool is_full(std::size_t p_on_connection) const { return p_on_connection > get_share(); }
 	bool has_room(std::size_t p_on_connection) const { return p_on_connection <= get_share() / 2; }
 
-	/** Whether more is held than may be: readers that take nothing are to be ended. */
-	bool is_over() const { return _held > _most; }
-	std::size_t get_held() const { return _held; }
+	/** Whether the total exceeds the maximum, so that connections whose callers read nothing are to be closed. */
+	bool is_over() const { return _buffered_bytes > _max_bytes; }
+	std::size_t get_held() const { return _buffered_bytes; }
 };
 
 } // namespace calicoscale
--- a/tests/servers/digest_feed_test.cpp
+++ b/tests/servers/digest_feed_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: digest_feed_test.cpp
- * Each peer is told of each member once, and again when it changes.
+ * Each peer is sent each member's digest once, and again when a stable field changes.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -34,13 +34,13 @@
 	for (int i = 0; i < 300; i++) {
 		feed.note(make_digest("n" + std::to_string(i)));
 	}
-	std::size_t told = 0;
+	std::size_t sent_count = 0;
 	for (std::vector<std::string> next = feed.take("p", is_any); !next.empty(); next = feed.take("p", is_any)) {
 		EXPECT_LE(next.size(), 64U);
-		told += next.size();
+		sent_count += next.size();
 	}
-	EXPECT_EQ(told, 300U);
-	// Heartbeats alone are no news: a fleet in which nothing changes tells nothing.
+	EXPECT_EQ(sent_count, 300U);
+	// A new heartbeat number alone is no change: nothing is sent while the stable fields stay the same.
 	for (int i = 0; i < 300; i++) {
 		feed.note(make_digest("n" + std::to_string(i), 2));
 	}
--- a/tests/servers/fleet_overlay_test.cpp
+++ b/tests/servers/fleet_overlay_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: fleet_overlay_test.cpp
- * Who is a hub, how many links a node keeps, and what happens when hubs go.
+ * Selection of hubs, number of links per node, and behaviour when hubs fail.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -21,19 +21,19 @@
 
 constexpr double SMALL = 0.12;
 constexpr double LARGE = 0.5;
-/** Each other hub of a fleet of three zones, and as many attempts again. */
-constexpr std::size_t MOST_LINKS_OF_A_HUB = 2 * 24;
+/** One link to each other hub of a fleet of three zones, and as many further attempts. */
+constexpr std::size_t MAX_LINKS_OF_A_HUB = 2 * 24;
 
 instant at(int p_milliseconds) {
 	return instant(std::chrono::seconds(1000) + milliseconds(p_milliseconds));
 }
 
-/** A fleet whose nodes reach each other unless they are down or in different parts. */
+/** A simulated fleet whose nodes reach each other unless they are down or on different sides of a partition. */
 class overlay_world {
 	std::vector<overlay_node> _nodes;
 	std::map<std::string, fleet_overlay> _overlays;
 	std::set<std::string> _down;
-	std::set<std::string> _cut_off; ///< Nodes that only reach each other.
+	std::set<std::string> _partitioned; ///< Nodes on one side of a partition; they reach only each other.
 	int _now = 0;
 
 public:
@@ -48,14 +48,14 @@
 
 	const std::vector<overlay_node> &get_nodes() const { return _nodes; }
 	void set_down(const std::string &p_vm) { _down.insert(p_vm); }
-	void set_cut_off(std::set<std::string> p_vms) { _cut_off = std::move(p_vms); }
+	void set_partition(std::set<std::string> p_vms) { _partitioned = std::move(p_vms); }
 	bool is_up(const std::string &p_vm) const { return !_down.contains(p_vm); }
 
 	bool is_reached(const std::string &p_from, const std::string &p_to) const {
-		return is_up(p_from) && is_up(p_to) && _cut_off.contains(p_from) == _cut_off.contains(p_to);
+		return is_up(p_from) && is_up(p_to) && _partitioned.contains(p_from) == _partitioned.contains(p_to);
 	}
 
-	/** Lets nodes plan each 200 ms; a link that both can make is heard at the next step. */
+	/** Lets each node plan every 200 ms; a node reached by a link that one side planned is responsive at the next step. */
 	void run(int p_milliseconds) {
 		for (const int end = _now + p_milliseconds; _now < end; _now += 200) {
 			const std::map<std::string, overlay_plan> before = plans;
@@ -75,8 +75,8 @@
 		}
 	}
 
-	/** Of the nodes that are up, those that hear a hub of their zone that is up and knows itself to be one. */
-	std::size_t count_served() const {
+	/** Counts the running nodes that plan with a reachable hub which considers itself a hub. */
+	std::size_t count_nodes_with_hub() const {
 		return static_cast<std::size_t>(std::count_if(_nodes.begin(), _nodes.end(), [this](const overlay_node &p_node) {
 			const auto plan = plans.find(p_node.vm);
 			if (!is_up(p_node.vm) || plan == plans.end()) {
@@ -90,12 +90,12 @@
 
 	std::size_t count_up() const { return _nodes.size() - _down.size(); }
 
-	std::size_t get_most_links(bool p_of_hubs) const {
-		std::size_t most = 0;
+	std::size_t get_max_links(bool p_of_hubs) const {
+		std::size_t max_links = 0;
 		for (const auto &[vm, plan] : plans) {
-			most = plan.is_hub == p_of_hubs && is_up(vm) ? std::max(most, plan.wanted.size()) : most;
+			max_links = plan.is_hub == p_of_hubs && is_up(vm) ? std::max(max_links, plan.wanted.size()) : max_links;
 		}
-		return most;
+		return max_links;
 	}
 
 	std::size_t count_hubs() const {
@@ -115,14 +115,14 @@
 }
 
 TEST(fleet_overlay, links_of_a_node_do_not_grow_with_the_fleet) {
-	// With a link from each node to each other a node of 1,000 would keep 999.
+	// In a full mesh each node of a fleet of 1,000 would keep 999 links.
 	for (const int nodes : { 30, 300, 1000 }) {
 		overlay_world world(nodes, 3, 0);
 		world.run(3000);
-		EXPECT_LE(world.get_most_links(false), 8U) << nodes;
-		EXPECT_LE(world.get_most_links(true), MOST_LINKS_OF_A_HUB) << nodes;
+		EXPECT_LE(world.get_max_links(false), 8U) << nodes;
+		EXPECT_LE(world.get_max_links(true), MAX_LINKS_OF_A_HUB) << nodes;
 		EXPECT_LE(world.count_hubs(), 24U) << nodes;
-		EXPECT_EQ(world.count_served(), static_cast<std::size_t>(nodes));
+		EXPECT_EQ(world.count_nodes_with_hub(), static_cast<std::size_t>(nodes));
 	}
 }
 
@@ -142,7 +142,7 @@
 		world.set_down("n" + std::to_string(i));
 	}
 	world.run(1000);
-	EXPECT_EQ(world.count_served(), world.count_up()) << "nobody waits until the lost ones have been tried for long";
+	EXPECT_EQ(world.count_nodes_with_hub(), world.count_up()) << "no node waits for repeated attempts to reach the failed ones";
 }
 
 TEST(fleet_overlay, half_of_the_fleet_may_go_at_one_moment) {
@@ -154,7 +154,7 @@
 		}
 	}
 	world.run(4000);
-	EXPECT_EQ(world.count_served(), world.count_up());
+	EXPECT_EQ(world.count_nodes_with_hub(), world.count_up());
 	EXPECT_GE(world.count_hubs(), 5U);
 }
 
@@ -167,15 +167,15 @@
 			zone.insert(node.vm);
 		}
 	}
-	world.set_cut_off(zone);
+	world.set_partition(zone);
 	world.run(20000);
-	EXPECT_EQ(world.count_served(), 300U);
-	EXPECT_LE(world.get_most_links(true), MOST_LINKS_OF_A_HUB);
-	world.set_cut_off({});
+	EXPECT_EQ(world.count_nodes_with_hub(), 300U);
+	EXPECT_LE(world.get_max_links(true), MAX_LINKS_OF_A_HUB);
+	world.set_partition({});
 	world.run(2000);
 	for (const auto &[vm, plan] : world.plans) {
-		const auto is_of_cut_zone = [&zone](const std::string &p_hub) { return zone.contains(p_hub); };
-		EXPECT_TRUE(!plan.is_hub || std::any_of(plan.hubs.begin(), plan.hubs.end(), is_of_cut_zone)) << vm;
+		const auto is_of_partitioned_zone = [&zone](const std::string &p_hub) { return zone.contains(p_hub); };
+		EXPECT_TRUE(!plan.is_hub || std::any_of(plan.hubs.begin(), plan.hubs.end(), is_of_partitioned_zone)) << vm;
 	}
 }
 
@@ -190,19 +190,20 @@
 }
 
 TEST(fleet_overlay, a_node_that_starts_is_settled_only_when_it_heard_all_that_may_be_hubs) {
-	// It told its zone of the few it had heard, and each neighbour took all other dispatchers for lost.
+	// Guards against a hub that has just started and reports only the few nodes it has contact with: its followers then considered
+	// all other dispatchers failed.
 	fleet_overlay overlay("n0", "a");
-	std::set<std::string> heard;
-	const auto is_heard = [&heard](const std::string &p_vm) { return heard.contains(p_vm); };
+	std::set<std::string> responsive;
+	const auto is_heard = [&responsive](const std::string &p_vm) { return responsive.contains(p_vm); };
 	const std::vector<overlay_node> nodes{ { "n0", "a", LARGE }, { "n1", "a", LARGE }, { "n2", "b", LARGE }, { "n3", "c", LARGE } };
 	EXPECT_FALSE(overlay.plan(nodes, is_heard, false, at(0)).is_settled);
-	heard = { "n1", "n2" };
+	responsive = { "n1", "n2" };
 	EXPECT_FALSE(overlay.plan(nodes, is_heard, false, at(200)).is_settled);
-	heard = { "n1", "n2", "n3" };
+	responsive = { "n1", "n2", "n3" };
 	EXPECT_TRUE(overlay.plan(nodes, is_heard, false, at(400)).is_settled);
-	heard = { "n1", "n2" };
+	responsive = { "n1", "n2" };
 	EXPECT_FALSE(overlay.plan(nodes, is_heard, false, at(600)).is_settled);
-	EXPECT_TRUE(overlay.plan(nodes, is_heard, false, at(2000)).is_settled) << "a node that does not answer for a second is not waited for";
+	EXPECT_TRUE(overlay.plan(nodes, is_heard, false, at(2000)).is_settled) << "a node that is unresponsive for a second is not waited for";
 }
 
 } // namespace calicoscale
--- a/tests/servers/list_budget_test.cpp
+++ b/tests/servers/list_budget_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: list_budget_test.cpp
- * What a fleet that starts again spends on telling itself the endpoints.
+ * Link capacity that a restarting fleet uses to send its nodes the list of endpoints.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -16,8 +16,8 @@
 
 namespace {
 
-constexpr double SMALL_LINK = 10e6 / 8.0;
-constexpr double LARGE_LINK = 200e6 / 8.0;
+constexpr double SMALL_LINK_BYTES = 10e6 / 8.0;
+constexpr double LARGE_LINK_BYTES = 200e6 / 8.0;
 
 instant at_ms(int p_ms) {
 	return instant{} + std::chrono::hours(1) + std::chrono::milliseconds(p_ms);
@@ -26,39 +26,39 @@
 } // namespace
 
 TEST(list_budget, a_small_node_that_all_others_ask_keeps_half_of_its_link) {
-	constexpr std::size_t LIST = 300'000;
-	list_budget budget(SMALL_LINK);
-	std::size_t told = 0;
-	// Each of 300 peers beats five times a second and is not ready for ten seconds.
+	constexpr std::size_t LIST_BYTES = 300'000;
+	list_budget budget(SMALL_LINK_BYTES);
+	std::size_t sent_bytes = 0;
+	// Each of 300 peers sends five heartbeats a second and isn't ready for ten seconds.
 	for (int ms = 0; ms < 10'000; ms += 200) {
 		for (int peer = 0; peer < 300; peer++) {
-			told += budget.try_tell("n" + std::to_string(peer), 1, LIST, at_ms(ms)) ? LIST : 0;
+			sent_bytes += budget.try_tell("n" + std::to_string(peer), 1, LIST_BYTES, at_ms(ms)) ? LIST_BYTES : 0;
 		}
 	}
-	EXPECT_LE(static_cast<double>(told), SMALL_LINK * 10.0 * 0.5 + 2.0 * LIST);
-	EXPECT_GE(static_cast<double>(told), SMALL_LINK * 10.0 * 0.4) << "what it may spend it does, as those that are told tell others";
+	EXPECT_LE(static_cast<double>(sent_bytes), SMALL_LINK_BYTES * 10.0 * 0.5 + 2.0 * LIST_BYTES);
+	EXPECT_GE(static_cast<double>(sent_bytes), SMALL_LINK_BYTES * 10.0 * 0.4) << "the budget is used up, as nodes that got the list send it to others";
 }
 
 TEST(list_budget, a_fleet_of_300_knows_3000_endpoints_within_a_second_of_the_first_that_does) {
-	constexpr std::size_t LIST = 300'000;
+	constexpr std::size_t LIST_BYTES = 300'000;
 	constexpr int NODES = 300;
 	std::vector<list_budget> budgets;
 	std::vector<int> known_at(NODES, -1);
 	for (int node = 0; node < NODES; node++) {
-		budgets.emplace_back(node < 6 ? LARGE_LINK : SMALL_LINK);
+		budgets.emplace_back(node < 6 ? LARGE_LINK_BYTES : SMALL_LINK_BYTES);
 	}
 	known_at[0] = 0;
 	int known = 1;
 	int ms = 0;
 	for (; known < NODES && ms < 10'000; ms += 20) {
-		for (int teller = 0; teller < NODES; teller++) {
-			const int first = known_at[teller];
-			for (int peer = 0; first >= 0 && first <= ms && peer < NODES; peer++) {
-				// The large nodes have links to all; the others to a few.
-				const bool is_linked = teller < 6 || peer < 6;
-				if (known_at[peer] < 0 && is_linked && budgets[teller].try_tell(std::to_string(peer), 1, LIST, at_ms(ms))) {
-					const double link = teller < 6 ? LARGE_LINK : SMALL_LINK;
-					known_at[peer] = ms + static_cast<int>(2.0 * LIST / link * 1000.0);
+		for (int sender = 0; sender < NODES; sender++) {
+			const int list_known_at = known_at[sender];
+			for (int peer = 0; list_known_at >= 0 && list_known_at <= ms && peer < NODES; peer++) {
+				// The large nodes are linked to all nodes; the others only to the large ones.
+				const bool is_linked = sender < 6 || peer < 6;
+				if (known_at[peer] < 0 && is_linked && budgets[sender].try_tell(std::to_string(peer), 1, LIST_BYTES, at_ms(ms))) {
+					const double link_bytes = sender < 6 ? LARGE_LINK_BYTES : SMALL_LINK_BYTES;
+					known_at[peer] = ms + static_cast<int>(2.0 * LIST_BYTES / link_bytes * 1000.0);
 					known++;
 				}
 			}
@@ -68,12 +68,12 @@
 }
 
 TEST(list_budget, a_peer_is_told_once_and_again_only_later_or_after_its_next_start) {
-	list_budget budget(LARGE_LINK);
+	list_budget budget(LARGE_LINK_BYTES);
 	EXPECT_TRUE(budget.try_tell("a", 1, 1000, at_ms(0)));
 	EXPECT_FALSE(budget.try_tell("a", 1, 1000, at_ms(900)));
 	EXPECT_TRUE(budget.try_tell("a", 2, 1000, at_ms(900)));
 	EXPECT_TRUE(budget.try_tell("a", 2, 1000, at_ms(1900)));
-	EXPECT_FALSE(budget.try_tell("a", 2, 1000, at_ms(2950))) << "each time after twice as long";
+	EXPECT_FALSE(budget.try_tell("a", 2, 1000, at_ms(2950))) << "the pause doubles each time";
 	EXPECT_TRUE(budget.try_tell("a", 2, 1000, at_ms(3950)));
 }
 
--- a/tests/servers/load/replica_pace_test.cpp
+++ b/tests/servers/load/replica_pace_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: replica_pace_test.cpp
- * How long work takes at a replica, as it tells and as it is seen.
+ * Slowdown factor of a replica from its reports and its measured calls.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -69,7 +69,7 @@
 TEST(replica_pace, numbers_that_are_none_are_kept_within_bounds) {
 	replica_pace pace;
 	pace.tell(1e9, START);
-	EXPECT_LE(pace.get(START), replica_pace::HIGHEST);
+	EXPECT_LE(pace.get(START), replica_pace::MAX_FACTOR);
 	pace.tell(0.0, START);
 	EXPECT_GE(pace.get(START), 1.0);
 }
--- a/tests/servers/load/write_budget_test.cpp
+++ b/tests/servers/load/write_budget_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: write_budget_test.cpp
- * What a node holds for callers that read slowly.
+ * Limit on the memory used for output to callers that read slowly.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -15,23 +15,23 @@
 namespace calicoscale {
 
 TEST(write_budget, hundreds_of_slow_readers_hold_no_more_than_the_whole) {
-	constexpr std::size_t MOST = 4UL * 1024 * 1024;
-	constexpr std::size_t EVENT = 1000;
-	write_budget budget(MOST);
-	std::vector<std::size_t> held(900, 0);
-	for (bool is_any_open = true; is_any_open;) {
-		is_any_open = false;
-		for (std::size_t &entry : held) {
+	constexpr std::size_t MAX_BYTES = 4UL * 1024 * 1024;
+	constexpr std::size_t EVENT_BYTES = 1000;
+	write_budget budget(MAX_BYTES);
+	std::vector<std::size_t> buffered(900, 0);
+	for (bool is_any_below_share = true; is_any_below_share;) {
+		is_any_below_share = false;
+		for (std::size_t &entry : buffered) {
 			if (!budget.is_full(entry)) {
-				entry += EVENT;
-				budget.add(EVENT);
-				is_any_open = true;
+				entry += EVENT_BYTES;
+				budget.add(EVENT_BYTES);
+				is_any_below_share = true;
 			}
 		}
 	}
-	EXPECT_LE(budget.get_held(), MOST);
-	for (const std::size_t entry : held) {
-		EXPECT_GT(entry, 0U) << "each goes on";
+	EXPECT_LE(budget.get_held(), MAX_BYTES);
+	for (const std::size_t entry : buffered) {
+		EXPECT_GT(entry, 0U) << "each reader makes progress";
 	}
 }
 
--- a/tests/servers/peer_contacts_test.cpp
+++ b/tests/servers/peer_contacts_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: peer_contacts_test.cpp
- * How often peers are told, what they are told, and when they count as lost.
+ * Intervals of heartbeats, the updates in them, and when a peer counts as unresponsive.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -20,34 +20,34 @@
 	return instant(std::chrono::seconds(1000) + milliseconds(p_milliseconds));
 }
 
-/** Heartbeats to one peer and news in them, over ten seconds with a beat each 200 ms. */
-std::pair<int, std::size_t> count_sent(peer_contacts &r_contacts, bool p_is_close) {
-	int beats = 0;
-	std::size_t news = 0;
+/** Counts the heartbeats to one peer and the updates in them over ten seconds, with a check every 200 ms. */
+std::pair<int, std::size_t> count_sent(peer_contacts &r_contacts, bool p_at_short_interval) {
+	int heartbeats = 0;
+	std::size_t updates = 0;
 	for (int now = 0; now < 10000; now += 200) {
-		if (r_contacts.is_due("n", p_is_close, true, at(now))) {
-			beats++;
-			news += r_contacts.on_sent("n", p_is_close, true, at(now)).size();
+		if (r_contacts.is_due("n", p_at_short_interval, true, at(now))) {
+			heartbeats++;
+			updates += r_contacts.on_sent("n", p_at_short_interval, true, at(now)).size();
 		}
 	}
-	return { beats, news };
+	return { heartbeats, updates };
 }
 
-bool is_never_over(const endpoint_news &) {
+bool is_never_obsolete(const endpoint_news &) {
 	return false;
 }
 
 } // namespace
 
 TEST(peer_contacts, nodes_that_dispatch_nothing_talk_seldom_and_tell_each_news_once) {
-	peer_contacts close;
+	peer_contacts frequent;
 	peer_contacts small;
-	for (peer_contacts *contacts : { &close, &small }) {
+	for (peer_contacts *contacts : { &frequent, &small }) {
 		for (int i = 0; i < 100; i++) {
 			contacts->add_news(endpoint_news{ { "e" + std::to_string(i), 1 }, true }, at(0));
 		}
 	}
-	EXPECT_EQ(count_sent(close, true), (std::pair<int, std::size_t>(50, 100)));
+	EXPECT_EQ(count_sent(frequent, true), (std::pair<int, std::size_t>(50, 100)));
 	EXPECT_EQ(count_sent(small, false), (std::pair<int, std::size_t>(10, 100)));
 }
 
@@ -68,15 +68,15 @@
 	contacts.add_news(endpoint_news{ { "back", 1 }, true }, at(0));
 	EXPECT_EQ(contacts.on_sent("n", false, true, at(0)).size(), 3U);
 	contacts.on_linked("n");
-	contacts.forget_news([](const endpoint_news &p_news) { return p_news.endpoint.vm == "back"; }, at(1000));
+	contacts.forget_news([](const endpoint_news &p_update) { return p_update.endpoint.vm == "back"; }, at(1000));
 	EXPECT_EQ(contacts.on_sent("n", false, true, at(1000)).size(), 2U);
 	contacts.on_linked("n");
-	contacts.forget_news(is_never_over, at(6000));
-	const std::vector<endpoint_news> told = contacts.on_sent("n", false, true, at(6000));
-	ASSERT_EQ(told.size(), 1U) << "the store tells of an endpoint that leaves by then";
-	EXPECT_EQ(told[0].endpoint.vm, "gone");
+	contacts.forget_news(is_never_obsolete, at(6000));
+	const std::vector<endpoint_news> sent = contacts.on_sent("n", false, true, at(6000));
+	ASSERT_EQ(sent.size(), 1U) << "by then the store lists the endpoint as leaving";
+	EXPECT_EQ(sent[0].endpoint.vm, "gone");
 	contacts.on_linked("n");
-	contacts.forget_news(is_never_over, at(21000));
+	contacts.forget_news(is_never_obsolete, at(21000));
 	EXPECT_TRUE(contacts.on_sent("n", false, true, at(21000)).empty());
 }
 
@@ -102,20 +102,21 @@
 }
 
 TEST(peer_contacts, a_peer_is_told_that_heartbeats_slow_before_it_could_miss_one) {
-	// Without it a stopping node was taken for lost for a quarter of a second, and what was handed to it was made twice.
+	// Guards against a longer interval that isn't announced: a stopping node then counted as failed for a quarter of a second, and the
+	// work assigned to it ran twice.
 	peer_contacts sender;
 	peer_contacts receiver;
 	sender.on_linked("receiver");
-	bool was_lost = false;
+	bool was_unresponsive = false;
 	for (int now = 0; now < 5000; now += 200) {
-		const bool is_close = now < 1000;
-		was_lost = was_lost || (now > 0 && !receiver.is_heard("sender", at(now)));
-		if (sender.is_due("receiver", is_close, true, at(now))) {
-			sender.on_sent("receiver", is_close, true, at(now));
-			receiver.on_heard("sender", peer_contacts::get_interval(is_close), at(now));
+		const bool at_short_interval = now < 1000;
+		was_unresponsive = was_unresponsive || (now > 0 && !receiver.is_heard("sender", at(now)));
+		if (sender.is_due("receiver", at_short_interval, true, at(now))) {
+			sender.on_sent("receiver", at_short_interval, true, at(now));
+			receiver.on_heard("sender", peer_contacts::get_interval(at_short_interval), at(now));
 		}
 	}
-	EXPECT_FALSE(was_lost);
+	EXPECT_FALSE(was_unresponsive);
 }
 
 TEST(peer_contacts, needs_hold_for_some_heartbeats_and_end_when_they_are_taken_back) {
@@ -124,7 +125,7 @@
 	contacts.on_needs("n", true, true, at(0));
 	EXPECT_TRUE(contacts.is_wanted("n", at(3000)));
 	EXPECT_EQ(contacts.get_followers(at(500)), std::vector<std::string>{ "n" });
-	EXPECT_TRUE(contacts.get_followers(at(1000)).empty()) << "a silent node counts for nothing";
+	EXPECT_TRUE(contacts.get_followers(at(1000)).empty()) << "a silent node no longer counts as a follower";
 	contacts.on_needs("n", false, false, at(1100));
 	EXPECT_FALSE(contacts.is_wanted("n", at(1100)));
 	EXPECT_FALSE(contacts.is_relied_on("n", at(1100)));
--- a/tests/servers/reading_order_test.cpp
+++ b/tests/servers/reading_order_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: reading_order_test.cpp
- * Who reads the store when a whole fleet starts.
+ * Which nodes read the store when a whole fleet starts.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -28,7 +28,7 @@
 	return nodes;
 }
 
-/** Nodes of a zone that have begun to read a moment after all started, none of them having been told. */
+/** Counts the nodes of a zone that have begun to read the store at a time after all started, when no peer sends them the list. */
 std::size_t count_readers(std::size_t p_nodes, duration p_since_start) {
 	const std::vector<overlay_node> zone = make_zone(p_nodes);
 	std::size_t readers = 0;
@@ -56,11 +56,11 @@
 
 TEST(reading_order, larger_nodes_come_first_and_no_two_share_a_place) {
 	const std::vector<overlay_node> zone = make_zone(40);
-	std::set<std::size_t> places;
+	std::set<std::size_t> positions;
 	for (const overlay_node &node : zone) {
-		const std::size_t place = find_reading_place(node.vm, zone);
-		EXPECT_TRUE(places.insert(place).second);
-		EXPECT_EQ(node.cores == 1.0, place < 2);
+		const std::size_t position = find_reading_place(node.vm, zone);
+		EXPECT_TRUE(positions.insert(position).second);
+		EXPECT_EQ(node.cores == 1.0, position < 2);
 	}
 	EXPECT_EQ(find_reading_place("alone", {}), 0U);
 }
--- a/tests/servers/shared_state_test.cpp
+++ b/tests/servers/shared_state_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: shared_state_test.cpp
- * Membership, the guarded list, the ledger and the time line.
+ * Membership, list guard, ledger and timeline.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -58,10 +58,10 @@
 	member_table table(make_digest("self"));
 	std::uint64_t newest_incarnation = 0;
 	std::uint64_t newest_heartbeat = 0;
-	std::set<std::uint64_t> left;
+	std::set<std::uint64_t> leaving_incarnations;
 	while (!choices.is_empty()) {
 		member_digest digest = make_digest("other", 1 + choices.pick(3), 1 + choices.pick(20));
-		// A node that leaves says so from then on; rumours from before still go round.
+		// A node that leaves reports so from then on, while relayed digests from before still circulate.
 		digest.leaving = choices.one_in(6);
 		table.take_digests({ digest }, at(0));
 		const bool is_newer = std::tie(digest.incarnation, digest.heartbeat) > std::tie(newest_incarnation, newest_heartbeat);
@@ -69,27 +69,27 @@
 			newest_incarnation = digest.incarnation;
 			newest_heartbeat = digest.heartbeat;
 			if (digest.leaving) {
-				left.insert(digest.incarnation);
+				leaving_incarnations.insert(digest.incarnation);
 			}
 		}
 		const member *known = table.find("other");
 		RC_ASSERT(known->digest.incarnation == newest_incarnation);
 		RC_ASSERT(known->digest.heartbeat == newest_heartbeat);
-		RC_ASSERT((known->state == member_state::LEAVING) == left.contains(newest_incarnation));
+		RC_ASSERT((known->state == member_state::LEAVING) == leaving_incarnations.contains(newest_incarnation));
 	}
 }
 
 TEST(member_table, silence_is_suspected_then_gone_then_forgotten_and_heals) {
 	member_table table(make_digest("self"));
 	table.take_digests({ make_digest("other", 1, 1) }, at(0));
-	const duration suspect = table.get_suspect_after();
-	table.tick(at(0) + suspect);
+	const duration suspect_after = table.get_suspect_after();
+	table.tick(at(0) + suspect_after);
 	EXPECT_EQ(table.find("other")->state, member_state::SUSPECT);
-	table.tick(at(0) + suspect * 7);
+	table.tick(at(0) + suspect_after * 7);
 	EXPECT_EQ(table.find("other")->state, member_state::GONE);
-	table.take_digests({ make_digest("other", 1, 2) }, at(0) + suspect * 8);
+	table.take_digests({ make_digest("other", 1, 2) }, at(0) + suspect_after * 8);
 	EXPECT_EQ(table.find("other")->state, member_state::ALIVE);
-	table.tick(at(0) + suspect * 100);
+	table.tick(at(0) + suspect_after * 100);
 	EXPECT_EQ(table.find("other"), nullptr);
 }
 
@@ -124,7 +124,7 @@
 	}
 	table.take_digests(digests, at(0));
 	std::set<std::string> sent;
-	for (int beat = 0; beat < 9; beat++) {
+	for (int heartbeat_index = 0; heartbeat_index < 9; heartbeat_index++) {
 		for (const member_digest &digest : table.make_heartbeat()) {
 			sent.insert(digest.vm);
 		}
@@ -155,12 +155,12 @@
 	EXPECT_EQ(guard.take(make_list(10), at(0)).size(), 10U);
 	EXPECT_EQ(guard.take({}, at(1000)).size(), 10U);
 	EXPECT_TRUE(guard.is_doubting());
-	EXPECT_EQ(guard.take({}, at(10'000'000)).size(), 10U) << "an empty list is never believed";
+	EXPECT_EQ(guard.take({}, at(10'000'000)).size(), 10U) << "an empty list is never accepted";
 	EXPECT_EQ(guard.take(make_list(10), at(10'000'000)).size(), 10U);
 	EXPECT_FALSE(guard.is_doubting());
 	EXPECT_EQ(guard.take(make_list(4), at(20'000'000)).size(), 10U);
 	EXPECT_EQ(guard.take(make_list(4), at(20'030'000)).size(), 10U);
-	EXPECT_EQ(guard.take(make_list(4), at(20'060'000)).size(), 4U) << "believed once it has said so for a minute";
+	EXPECT_EQ(guard.take(make_list(4), at(20'060'000)).size(), 4U) << "accepted once lists have been that short for a minute";
 }
 
 TEST(list_guard, ordinary_change_and_news_pass_at_once) {
@@ -169,16 +169,16 @@
 	EXPECT_EQ(guard.take(make_list(8), at(1)).size(), 8U);
 	std::vector<endpoint_listing> shrunken{ make_listing("new") };
 	shrunken[0].leaving = true;
-	const std::vector<endpoint_listing> taken = guard.take(shrunken, at(2));
-	EXPECT_EQ(taken.size(), 9U);
-	EXPECT_TRUE(std::any_of(taken.begin(), taken.end(), [](const endpoint_listing &p_listing) { return p_listing.vm == "new" && p_listing.leaving; }));
+	const std::vector<endpoint_listing> accepted = guard.take(shrunken, at(2));
+	EXPECT_EQ(accepted.size(), 9U);
+	EXPECT_TRUE(std::any_of(accepted.begin(), accepted.end(), [](const endpoint_listing &p_listing) { return p_listing.vm == "new" && p_listing.leaving; }));
 }
 
 RC_GTEST_PROP(ledger_properties, totals_equal_the_truth_for_every_schedule_of_faults, ()) {
 	choice_source choices(300);
 	std::vector<cost_ledger> ledgers{ cost_ledger("a", 1), cost_ledger("b", 2) };
 	std::vector<std::string> log;
-	cost_table truth;
+	cost_table expected;
 	const auto append = [&log, &choices](cost_ledger &r_ledger, std::uint32_t p_fault) {
 		const ledger_entry *entry = r_ledger.get_entry(0);
 		if (entry == nullptr) {
@@ -188,9 +188,9 @@
 			r_ledger.on_append_ended(append_result::NOT_DONE);
 			return;
 		}
-		// Appends may land anywhere behind others, and twice.
-		const std::size_t place = log.size() - std::min<std::size_t>(log.size(), choices.pick(3));
-		log.insert(log.begin() + static_cast<std::ptrdiff_t>(place), encode(*entry));
+		// An append may take effect in a different order than others, and twice.
+		const std::size_t position = log.size() - std::min<std::size_t>(log.size(), choices.pick(3));
+		log.insert(log.begin() + static_cast<std::ptrdiff_t>(position), encode(*entry));
 		r_ledger.on_append_ended(p_fault == 1 ? append_result::UNKNOWN : append_result::DONE);
 	};
 	while (!choices.is_empty()) {
@@ -202,7 +202,7 @@
 		const cost_key key{ "c" + std::to_string(choices.pick(2)), "p", "s" + std::to_string(choices.pick(2)), "pool", static_cast<cost_use>(choices.pick(6)) };
 		const cost_sum sum{ choices.pick(100), choices.pick(100), 1 };
 		ledger.book(key, sum);
-		truth[key].add(sum);
+		expected[key].add(sum);
 		RC_ASSERT(ledger.get_row_count() <= 48U);
 	}
 	for (cost_ledger &ledger : ledgers) {
@@ -214,7 +214,7 @@
 	for (const std::string &record : log) {
 		fold.take(record);
 	}
-	RC_ASSERT(fold.get_totals() == truth);
+	RC_ASSERT(fold.get_totals() == expected);
 }
 
 TEST(ledger_fold, malformed_records_are_counted_and_skipped) {
--- a/tests/servers/told_fleet_test.cpp
+++ b/tests/servers/told_fleet_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: told_fleet_test.cpp
- * What a node believes of dispatchers it is told of.
+ * State of dispatchers at a node that follows a hub.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
