--- a/misc/scripts/mutations.sh
+++ b/misc/scripts/mutations.sh
@@ -116,39 +116,39 @@
 memory=servers/gateway/crash_memory.cpp
 mutate "requests that end endpoints" "they are never tried" $memory "verdict.crashes < CRASHES_TO_TRY" "verdict.crashes < 100" crash_memory_test
 mutate "requests that end endpoints" "trials have no end" $memory "verdict.trials >= MOST_TRIALS" "verdict.trials >= 100" crash_memory_test
-mutate "requests that end endpoints" "two trials at once" $memory "return p_entry.first != p_trial && (is_under_way || comes_first);" "return false;" crash_memory_test
+mutate "requests that end endpoints" "two trials at once" $memory "return p_entry.first != p_trial && (is_sent_and_open || comes_first);" "return false;" crash_memory_test
 mutate "requests that end endpoints" "a connection that ends alone blames its run" servers/gateway/lost_runs.cpp "if (p_end == probe_end::REFUSED) {" "if (p_end != probe_end::SILENT) {" lost_runs_test
 mutate "nodes that stood still" "peers are silent by one's own absence" servers/membership/peer_contacts.cpp "*heard == instant{} ? duration::zero() : p_absence" "duration::zero()" gateway_suspension_test
 mutate "nodes that stood still" "requests are decided on before what changed is known" main/gateway/gateway.cpp "return !_configuration.is_known_since(_away_until) || !_endpoints.is_known_since(_away_until);" "return false;" gateway_suspension_test
 mutate "nodes that stood still" "silence is judged before what came is read" drivers/event_loop.cpp "	_is_reading_first = true;
 " "" event_loop_test
-mutate "one address, one endpoint" "the earlier entry stays" servers/gateway/endpoint_directory.cpp "		_take_address(p_listing.vm);
+mutate "one address, one endpoint" "the earlier entry stays" servers/gateway/endpoint_directory.cpp "		_supersede_at_address(p_listing.vm);
 " "" endpoint_address_test
 mutate "evacuations" "a peer's late news counts" servers/gateway/evacuation_table.cpp "if (p_state.known <= _known) {" "if (false) {" evacuation_table_test
 mutate "evacuations" "what an older copy lacks is not kept" servers/gateway/evacuation_table.cpp "if (is_new_era) {" "if (false) {" evacuation_table_test
 mutate "evacuations" "an own reading that lags behind counts" servers/gateway/evacuation_table.cpp "if (record.offset < _known.offset) {" "if (false) {" evacuation_table_test
 mutate "evacuated zones" "they are chosen when nothing else is left" servers/routing/endpoint_state.h "!drained && !evacuated; }" "!drained; }" gateway_evacuation_test
 mutate "evacuated zones" "stage calls go on" main/gateway/stage_dispatcher.cpp "return shard.has(p_listing.vm) && !_evacuated_zones.contains(p_listing.zone);" "return shard.has(p_listing.vm);" gateway_evacuation_test
-mutate "work of a node that is not told" "it is done by itself at once" servers/gateway/dispatch_choice.cpp "p_wait.untold < TOLD_WAIT" "p_wait.untold < duration::zero()" dispatch_choice_test
-mutate "work of a node that is not told" "it waits for good" servers/gateway/dispatch_choice.cpp "&& p_wait.untold < TOLD_WAIT" "" dispatch_choice_test
+mutate "work of a node that is not told" "it is done by itself at once" servers/gateway/dispatch_choice.cpp "p_wait.untold < DISPATCHER_LIST_WAIT" "p_wait.untold < duration::zero()" dispatch_choice_test
+mutate "work of a node that is not told" "it waits for good" servers/gateway/dispatch_choice.cpp "&& p_wait.untold < DISPATCHER_LIST_WAIT" "" dispatch_choice_test
 mutate "roll-out" "a report is of an earlier window than what is told beside it" servers/rollout/rollout.cpp "	report.answers.advance_to(_record.get_index());
 " "" rollout_test
 mutate "evacuated zones" "nothing is refused at once" main/gateway/admission.cpp "if (closed.empty()) {" "if (true) {" gateway_evacuation_test
 mutate "cold endpoints" "each node has all that they bear" servers/gateway/sender_places.cpp "return rank ? p_places / nodes.size() + (*rank < p_places % nodes.size() ? 1 : 0) : 0;" "return rank ? p_places : 0;" endpoint_limits_test
 mutate "cold endpoints" "a node that knows no others sends" servers/gateway/sender_places.cpp "if (!_is_settled || !_is_own_zone(p_zone) || p_now - _first_view_at < PLACE_HELD) {" "if (!_is_own_zone(p_zone) || p_now - _first_view_at < PLACE_HELD) {" endpoint_limits_test
 mutate "cold endpoints" "a place counts at once" servers/gateway/sender_places.cpp "least = counts ? std::min(least, _count_in(view, p_endpoint, p_places)) : least;" "least = counts ? _count_in(view, p_endpoint, p_places) : least;" endpoint_limits_test
-mutate "named limits" "they are not asked for" servers/gateway/endpoint_limits.cpp "} else if (named) {" "} else if (false) {" named_limits_test
+mutate "named limits" "they are not asked for" servers/gateway/endpoint_limits.cpp "} else if (advertised) {" "} else if (false) {" named_limits_test
 mutate "named limits" "an answer without one never ends it" servers/gateway/named_limits.cpp "p_is_signed && p_sent_at > known->second.at" "false" named_limits_test
 mutate "named limits" "a late answer without one ends it" servers/gateway/named_limits.cpp "p_is_signed && p_sent_at > known->second.at" "p_is_signed" named_limits_test
 mutate "named limits" "older news counts" servers/gateway/named_limits.cpp "if (p_record.at <= known->second.at +" "if (false && p_record.at <= known->second.at +" named_limits_test
 mutate "named limits" "other nodes are not told" main/gateway/send_guard.cpp "_relay.add_own(record);" "" gateway_limits_test
 mutate "named limits" "stage calls are not asked for" main/gateway/pool_caller.cpp " && _guard.may_send(p_replica, sender_part::WHOLE, p_now);" " && p_now > instant{};" gateway_limits_test
 mutate "leaving by word" "it is not heeded" main/gateway/send_guard.cpp "_endpoints.mark_leaving(p_endpoint, \"answer\");" "" gateway_limits_test
-mutate "rest" "it is not heeded" servers/gateway/endpoint_limits.cpp "if (_rests.get_left(p_endpoint, p_now) > duration::zero()) {" "if (false) {" endpoint_rests_test
+mutate "rest" "it is not heeded" servers/gateway/endpoint_limits.cpp "if (_backoffs.get_left(p_endpoint, p_now) > duration::zero()) {" "if (false) {" endpoint_rests_test
 mutate "rest" "callers are told another time" main/gateway/admission.cpp "const bool is_resting = !prospect.wait && prospect.rest_left;" "const bool is_resting = false;" gateway_limits_test
 mutate "home regions" "they bind only while something else is left" servers/routing/router.cpp "return p_endpoint.is_open() && is_admitted &&" "return p_endpoint.is_open() &&" gateway_places_test
 mutate "log eras" "an answer of another era is read on from" main/gateway/topic_reader.cpp "(is_other_era && !p_is_whole)" "false" gateway_era_test
-mutate "log eras" "what had gone comes back" servers/gateway/endpoint_directory.cpp "return is_recent && went != _went.end() && went->second <= _era_at;" "return false;" gateway_era_test
+mutate "log eras" "what had gone comes back" servers/gateway/endpoint_directory.cpp "return is_recent && removed != _removed_at.end() && removed->second <= _era_at;" "return false;" gateway_era_test
 mutate "lists told" "there is no budget" servers/membership/list_budget.cpp "if (_left <= 0.0) {" "if (false) {" list_budget_test
 mutate "stage search" "all works are looked at again after a vain search" servers/gateway/stage_pool.cpp "_vain_since = _vain_since.value_or(p_now);" "" stage_pool_search_test
 mutate "stage search" "a vain search holds for good" servers/gateway/stage_pool.cpp "p_now - *_vain_since >= VAIN_FOR" "false" stage_pool_search_test
--- a/servers/gateway/endpoint_directory.cpp
+++ b/servers/gateway/endpoint_directory.cpp
@@ -411,15 +411,15 @@
 }
 
 std::vector<endpoint_identity> endpoint_directory::take_gone() {
-	std::vector<endpoint_identity> gone;
-	gone.swap(_new_removed);
-	return gone;
+	std::vector<endpoint_identity> removed;
+	removed.swap(_new_removed);
+	return removed;
 }
 
 std::vector<endpoint_identity> endpoint_directory::take_news() {
-	std::vector<endpoint_identity> news;
-	news.swap(_new_leaving);
-	return news;
+	std::vector<endpoint_identity> leaving;
+	leaving.swap(_new_leaving);
+	return leaving;
 }
 
 } // namespace calicoscale
--- a/servers/gateway/endpoint_limits.cpp
+++ b/servers/gateway/endpoint_limits.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: endpoint_limits.cpp
- * What endpoints that take only so much may be sent by all nodes together.
+ * Rate limits for endpoints that accept only a bounded number of requests from all nodes together.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -15,12 +15,12 @@
 
 namespace {
 
-/** Within it a cold endpoint's requests are counted. */
+/** Time span in which requests to a cold endpoint are counted. */
 constexpr duration COLD_SPAN = std::chrono::seconds(1);
-/** A node sends this often at most to find out whether a limit still holds that nobody spoke of for long. */
+/** Minimum interval of a node's requests that check whether a limit still holds that hasn't been reported for long. */
 constexpr duration CHECK_SPAN = std::chrono::seconds(1);
-/** No node sends so much to one endpoint. */
-constexpr double HIGHEST_RATE = 1e6;
+/** Requests a second; bounds the slots of a very high limit. No node sends this much to one endpoint. */
+constexpr double MAX_RATE = 1e6;
 
 const gateway_service *find_limited(const gateway_configuration &p_configuration, const std::string &p_pool) {
 	const gateway_service *service = p_configuration.find_service(p_pool);
@@ -29,7 +29,7 @@
 
 } // namespace
 
-void endpoint_limits::_note_cold(const endpoint_identity &p_endpoint, double p_rate, duration p_left, instant p_now) {
+void endpoint_limits::_set_cold(const endpoint_identity &p_endpoint, double p_rate, duration p_left, instant p_now) {
 	cold_time &entry = _cold[p_endpoint];
 	entry.rate = p_rate;
 	entry.since = entry.since == instant{} ? p_now : entry.since;
@@ -41,12 +41,12 @@
 	for (const endpoint_listing &listing : p_listings) {
 		_listed.emplace(listing.get_identity(), listed_endpoint{ listing.zone, listing.pool, listing.address });
 		const auto known = _cold.find(listing.get_identity());
-		// The list is taken again for other reasons too; what an entry said before has been running down since.
-		const bool is_news = known == _cold.end() ? listing.cold_left > duration::zero() : known->second.told != listing.cold_left;
+		// The list is also set again for other reasons; the cold time of an unchanged entry has been running since it was applied.
+		const bool is_news = known == _cold.end() ? listing.cold_left > duration::zero() : known->second.reported != listing.cold_left;
 		const gateway_service *service = is_news ? find_limited(p_configuration, listing.pool) : nullptr;
 		if (service != nullptr) {
-			_note_cold(listing.get_identity(), service->cold_rate, listing.cold_left, p_now);
-			_cold.at(listing.get_identity()).told = listing.cold_left;
+			_set_cold(listing.get_identity(), service->cold_rate, listing.cold_left, p_now);
+			_cold.at(listing.get_identity()).reported = listing.cold_left;
 		}
 	}
 	std::erase_if(_cold, [this](const auto &p_entry) { return !_listed.contains(p_entry.first); });
@@ -56,7 +56,7 @@
 	const auto listed = _listed.find(p_endpoint);
 	const gateway_service *service = listed == _listed.end() ? nullptr : find_limited(p_configuration, listed->second.pool);
 	if (service != nullptr && p_left > duration::zero()) {
-		_note_cold(p_endpoint, service->cold_rate, p_left, p_now);
+		_set_cold(p_endpoint, service->cold_rate, p_left, p_now);
 	}
 }
 
@@ -64,7 +64,7 @@
 	for (const endpoint_listing &listing : p_listings) {
 		const gateway_service *service = listing.zone == p_zone ? find_limited(p_configuration, listing.pool) : nullptr;
 		if (service != nullptr) {
-			_note_cold(listing.get_identity(), service->cold_rate, service->cold_time, p_now);
+			_set_cold(listing.get_identity(), service->cold_rate, service->cold_time, p_now);
 		}
 	}
 }
@@ -74,38 +74,38 @@
 	const auto cold = _cold.find(p_endpoint);
 	if (cold != _cold.end() && cold->second.until > p_now) {
 		const double rate = cold->second.rate;
-		// Less than one a second: the first of the senders sends one, and the next when the endpoint bears it.
+		// Below one request a second there is one slot, in a span long enough for the rate.
 		bounds.push_back(rate >= 1.0 ? rate_bound{ static_cast<std::size_t>(rate), COLD_SPAN, cold->second.since } : rate_bound{ 1, from_seconds(1.0 / rate), cold->second.since });
 	}
-	const std::optional<double> named = _named.find_rate(p_endpoint);
-	if (named && !_named.is_confirmed(p_endpoint, p_now)) {
+	const std::optional<double> advertised = _advertised.find_rate(p_endpoint);
+	if (advertised && !_advertised.is_confirmed(p_endpoint, p_now)) {
 		bounds.push_back(rate_bound{ 1, CHECK_SPAN, instant{}, true });
-	} else if (named) {
-		bounds.push_back(_make_named_bound(*named, _named.get_named_at(p_endpoint)));
+	} else if (advertised) {
+		bounds.push_back(_make_advertised_bound(*advertised, _advertised.get_named_at(p_endpoint)));
 	}
 	return bounds;
 }
 
-endpoint_limits::rate_bound endpoint_limits::_make_named_bound(double p_rate, instant p_since) {
+endpoint_limits::rate_bound endpoint_limits::_make_advertised_bound(double p_rate, instant p_since) {
 	if (p_rate <= 0.0) {
 		return rate_bound{ 0, std::chrono::seconds(1), p_since };
 	}
-	const double places = std::max(1.0, std::floor(std::min(p_rate, HIGHEST_RATE)));
-	return rate_bound{ static_cast<std::size_t>(places), from_seconds(places / p_rate), p_since };
+	const double slots = std::max(1.0, std::floor(std::min(p_rate, MAX_RATE)));
+	return rate_bound{ static_cast<std::size_t>(slots), from_seconds(slots / p_rate), p_since };
 }
 
-std::size_t endpoint_limits::_count_own(const endpoint_identity &p_endpoint, const rate_bound &p_bound, sender_part p_part, instant p_now) {
-	if (p_part == sender_part::WHOLE || p_bound.is_own) {
-		return p_bound.places;
+std::size_t endpoint_limits::_count_own(const endpoint_identity &p_endpoint, const rate_bound &p_bound, sender_part p_share, instant p_now) {
+	if (p_share == sender_part::WHOLE || p_bound.is_own) {
+		return p_bound.slots;
 	}
-	return _places.count_own(p_endpoint, _find_zone(p_endpoint), p_bound.places, p_now);
+	return _slots.count_own(p_endpoint, _find_zone(p_endpoint), p_bound.slots, p_now);
 }
 
-std::size_t endpoint_limits::_count_soon(const endpoint_identity &p_endpoint, const rate_bound &p_bound, sender_part p_part) {
-	if (p_part == sender_part::WHOLE || p_bound.is_own) {
-		return p_bound.places;
+std::size_t endpoint_limits::_count_soon(const endpoint_identity &p_endpoint, const rate_bound &p_bound, sender_part p_share) {
+	if (p_share == sender_part::WHOLE || p_bound.is_own) {
+		return p_bound.slots;
 	}
-	return _places.count_soon(p_endpoint, _find_zone(p_endpoint), p_bound.places);
+	return _slots.count_soon(p_endpoint, _find_zone(p_endpoint), p_bound.slots);
 }
 
 std::string endpoint_limits::_find_zone(const endpoint_identity &p_endpoint) const {
@@ -113,12 +113,12 @@
 	return listed == _listed.end() ? "" : listed->second.zone;
 }
 
-std::optional<duration> endpoint_limits::_get_wait_by_rank(const endpoint_identity &p_endpoint, const rate_bound &p_bound, sender_part p_part, instant p_now) {
-	const std::size_t own = _count_own(p_endpoint, p_bound, p_part, p_now);
+std::optional<duration> endpoint_limits::_get_wait_by_rank(const endpoint_identity &p_endpoint, const rate_bound &p_bound, sender_part p_share, instant p_now) {
+	const std::size_t own = _count_own(p_endpoint, p_bound, p_share, p_now);
 	if (own == 0) {
-		return _count_soon(p_endpoint, p_bound, p_part) > 0 ? std::optional(_places.get_time_to_hold(p_now)) : std::nullopt;
+		return _count_soon(p_endpoint, p_bound, p_share) > 0 ? std::optional(_slots.get_time_to_hold(p_now)) : std::nullopt;
 	}
-	const std::deque<instant> &sent = _sent[p_endpoint];
+	const std::deque<instant> &sent = _sent_at[p_endpoint];
 	if (sent.size() < own) {
 		return duration::zero();
 	}
@@ -126,25 +126,25 @@
 }
 
 std::optional<duration> endpoint_limits::_get_wait_evenly(const endpoint_identity &p_endpoint, const rate_bound &p_bound, instant p_now) const {
-	if (!_places.is_settled()) {
+	if (!_slots.is_settled()) {
 		return std::nullopt;
 	}
-	const duration interval = p_bound.span * static_cast<duration::rep>(_places.get_fleet_nodes()) / static_cast<duration::rep>(p_bound.places);
-	const auto sent = _sent.find(p_endpoint);
-	// Nodes begin at different moments, or all would send in the first span.
-	const bool has_sent = sent != _sent.end() && !sent->second.empty();
-	const instant next = has_sent ? sent->second.back() + interval : p_bound.since + from_seconds(to_seconds(interval) * _places.get_phase(p_endpoint));
+	const duration interval = p_bound.span * static_cast<duration::rep>(_slots.get_fleet_nodes()) / static_cast<duration::rep>(p_bound.slots);
+	const auto sent = _sent_at.find(p_endpoint);
+	// Each node starts at its own phase; otherwise all would send within the first span.
+	const bool has_sent = sent != _sent_at.end() && !sent->second.empty();
+	const instant next = has_sent ? sent->second.back() + interval : p_bound.since + from_seconds(to_seconds(interval) * _slots.get_phase(p_endpoint));
 	return std::max(duration::zero(), next - p_now);
 }
 
-std::optional<duration> endpoint_limits::get_wait(const endpoint_identity &p_endpoint, sender_part p_part, instant p_now) {
-	if (_rests.get_left(p_endpoint, p_now) > duration::zero()) {
+std::optional<duration> endpoint_limits::get_wait(const endpoint_identity &p_endpoint, sender_part p_share, instant p_now) {
+	if (_backoffs.get_left(p_endpoint, p_now) > duration::zero()) {
 		return std::nullopt;
 	}
 	duration longest = duration::zero();
 	for (const rate_bound &bound : _get_bounds(p_endpoint, p_now)) {
-		const bool is_even = _sharing == limit_sharing::EVEN && p_part == sender_part::SHARE && bound.places > 0 && !bound.is_own;
-		const std::optional<duration> wait = is_even ? _get_wait_evenly(p_endpoint, bound, p_now) : _get_wait_by_rank(p_endpoint, bound, p_part, p_now);
+		const bool is_even = _sharing == limit_sharing::EVEN && p_share == sender_part::SHARE && bound.slots > 0 && !bound.is_own;
+		const std::optional<duration> wait = is_even ? _get_wait_evenly(p_endpoint, bound, p_now) : _get_wait_by_rank(p_endpoint, bound, p_share, p_now);
 		if (!wait) {
 			return std::nullopt;
 		}
@@ -153,10 +153,10 @@
 	return longest;
 }
 
-bool endpoint_limits::may_send(const endpoint_identity &p_endpoint, sender_part p_part, instant p_now) {
-	const std::optional<duration> wait = get_wait(p_endpoint, p_part, p_now);
+bool endpoint_limits::may_send(const endpoint_identity &p_endpoint, sender_part p_share, instant p_now) {
+	const std::optional<duration> wait = get_wait(p_endpoint, p_share, p_now);
 	const bool is_allowed = wait && *wait == duration::zero();
-	_held_back += is_allowed ? 0 : 1;
+	_deferred_count += is_allowed ? 0 : 1;
 	return is_allowed;
 }
 
@@ -165,7 +165,7 @@
 	if (bounds.empty()) {
 		return;
 	}
-	std::deque<instant> &sent = _sent[p_endpoint];
+	std::deque<instant> &sent = _sent_at[p_endpoint];
 	sent.push_back(p_now);
 	duration longest = duration::zero();
 	for (const rate_bound &bound : bounds) {
@@ -176,14 +176,14 @@
 	}
 }
 
-void endpoint_limits::_add_free_places(const endpoint_identity &p_endpoint, const rate_bound &p_bound, std::size_t p_most, instant p_now, std::vector<instant> &r_free_at) {
+void endpoint_limits::_add_free_slots(const endpoint_identity &p_endpoint, const rate_bound &p_bound, std::size_t p_max, instant p_now, std::vector<instant> &r_free_at) {
 	const std::optional<duration> wait = get_wait(p_endpoint, sender_part::SHARE, p_now);
 	if (!wait) {
 		return;
 	}
 	const std::size_t own = _count_soon(p_endpoint, p_bound, sender_part::SHARE);
-	const std::deque<instant> &sent = _sent[p_endpoint];
-	for (std::size_t i = 0; i < std::min(own, p_most); i++) {
+	const std::deque<instant> &sent = _sent_at[p_endpoint];
+	for (std::size_t i = 0; i < std::min(own, p_max); i++) {
 		const bool is_used = sent.size() + i >= own;
 		const instant free_at = is_used ? sent[sent.size() + i - own] + p_bound.span : p_now;
 		r_free_at.push_back(std::max(free_at, p_now + *wait));
@@ -195,9 +195,9 @@
 	std::vector<instant> free_at;
 	duration longest_span = duration::zero();
 	for (const endpoint_identity &endpoint : p_endpoints) {
-		const duration rest = _rests.get_left(endpoint, p_now);
-		if (rest > duration::zero()) {
-			prospect.rest_left = std::min(prospect.rest_left.value_or(rest), rest);
+		const duration backoff = _backoffs.get_left(endpoint, p_now);
+		if (backoff > duration::zero()) {
+			prospect.rest_left = std::min(prospect.rest_left.value_or(backoff), backoff);
 			continue;
 		}
 		const std::vector<rate_bound> bounds = _get_bounds(endpoint, p_now);
@@ -205,9 +205,9 @@
 			prospect.wait = duration::zero();
 			return prospect;
 		}
-		const auto get_rate = [](const rate_bound &p_bound) { return static_cast<double>(p_bound.places) / to_seconds(p_bound.span); };
+		const auto get_rate = [](const rate_bound &p_bound) { return static_cast<double>(p_bound.slots) / to_seconds(p_bound.span); };
 		const auto tightest = std::min_element(bounds.begin(), bounds.end(), [&get_rate](const rate_bound &p_left, const rate_bound &p_right) { return get_rate(p_left) < get_rate(p_right); });
-		_add_free_places(endpoint, *tightest, p_before + 1, p_now, free_at);
+		_add_free_slots(endpoint, *tightest, p_before + 1, p_now, free_at);
 		longest_span = std::max(longest_span, tightest->span);
 	}
 	if (!free_at.empty()) {
@@ -224,19 +224,19 @@
 }
 
 void endpoint_limits::_forget_unbounded() {
-	std::erase_if(_sent, [this](const auto &p_entry) {
-		const bool is_bounded = _cold.contains(p_entry.first) || _named.find_rate(p_entry.first);
+	std::erase_if(_sent_at, [this](const auto &p_entry) {
+		const bool is_bounded = _cold.contains(p_entry.first) || _advertised.find_rate(p_entry.first);
 		if (!is_bounded) {
-			_places.forget(p_entry.first);
+			_slots.forget(p_entry.first);
 		}
 		return !is_bounded;
 	});
 }
 
 std::vector<endpoint_identity> endpoint_limits::forget_old(instant p_now) {
-	std::vector<endpoint_identity> lapsed = _named.forget_old(p_now);
-	std::erase_if(_cold, [p_now](const auto &p_entry) { return p_entry.second.until <= p_now && p_entry.second.told == duration::zero(); });
-	_rests.forget_old(p_now);
+	std::vector<endpoint_identity> lapsed = _advertised.forget_old(p_now);
+	std::erase_if(_cold, [p_now](const auto &p_entry) { return p_entry.second.until <= p_now && p_entry.second.reported == duration::zero(); });
+	_backoffs.forget_old(p_now);
 	_forget_unbounded();
 	return lapsed;
 }
--- a/servers/gateway/endpoint_limits.h
+++ b/servers/gateway/endpoint_limits.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: endpoint_limits.h
- * What endpoints that take only so much may be sent by all nodes together.
+ * Rate limits for endpoints that accept only a bounded number of requests from all nodes together.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -23,38 +23,40 @@
 
 namespace calicoscale {
 
-/** How the nodes of a fleet share what an endpoint takes. */
+/** How the nodes of a fleet share the rate that an endpoint accepts. */
 enum class limit_sharing {
-	RANKS, ///< Each such endpoint has a few senders: nodes of its zone, ranked by a hash. No node need hear another.
-	EVEN, ///< Each node of the fleet may send now and then, as rarely as there are nodes.
+	RANKS, ///< A few nodes of the endpoint's zone, ranked by a hash, send to it. Works without communication between nodes.
+	EVEN, ///< All nodes send to it, each at the rate divided by the number of nodes.
 };
 
-/** Which part of what an endpoint takes is this node's. */
+/** Which share of an endpoint's rate this node may use. */
 enum class sender_part {
-	SHARE, ///< Other nodes send there as well.
-	WHOLE, ///< This node alone does, as the dispatcher of a stage pool.
+	SHARE, ///< A share, as other nodes send there as well.
+	WHOLE, ///< The whole rate, as only this node sends there; for the dispatcher of a stage pool.
 };
 
 /** When a request may be sent to one of some endpoints. */
 struct send_prospect {
-	std::optional<duration> wait; ///< Zero when it may be now; empty when this node may send to none as things are.
-	std::optional<duration> rest_left; ///< Of the endpoint that has rested soonest; empty when none rests.
+	std::optional<duration> wait; ///< Zero when it may be sent now; empty when this node currently may send to none of them.
+	std::optional<duration> rest_left; ///< Shortest remaining back-off of the endpoints; empty when none is backed off.
 };
 
 /**
- * Bounds what this node sends to endpoints that take only so many requests a second from all nodes together. An endpoint that
- * says it is cold bears a rate that its service tells, and collapses well above it; an endpoint in need names its limit in its
- * answers. Of both, the tighter one counts. An endpoint that asked this node for rest gets nothing from it meanwhile.
+ * Bounds the requests that this node sends to endpoints that accept only a bounded rate from all nodes together. A cold
+ * endpoint, one that has recently started, supports the rate set for its service and collapses well above it. An overloaded
+ * endpoint advertises a limit in its answers. The tighter of both bounds applies. While an endpoint has requested a back-off
+ * from this node, this node sends it nothing.
  *
- * A rate is a number of places within a span, and each place is one request in it. Endpoints without a bound cost one look-up.
+ * A rate is a number of slots within a time span; each slot is the right to send one request within the span. Checking an
+ * endpoint without a bound costs one look-up.
  */
 class endpoint_limits {
-	/** Requests that an endpoint takes within any span. */
+	/** Requests that an endpoint accepts within any time span of a length. */
 	struct rate_bound {
-		std::size_t places = 1;
+		std::size_t slots = 1;
 		duration span = std::chrono::seconds(1);
 		instant since{};
-		bool is_own = false; ///< All places are this node's.
+		bool is_own = false; ///< This node has all slots.
 	};
 
 	struct listed_endpoint {
@@ -65,92 +67,94 @@
 
 	struct cold_time {
 		double rate = 0.0; ///< Requests a second.
-		duration told = duration::zero(); ///< As its entry said last.
+		duration reported = duration::zero(); ///< Remaining cold time in its last entry.
 		instant since{};
 		instant until{};
 	};
 
 	limit_sharing _sharing;
-	sender_places _places;
+	sender_places _slots;
 	std::map<endpoint_identity, listed_endpoint> _listed;
 	std::map<endpoint_identity, cold_time> _cold;
-	named_limits _named;
-	endpoint_rests _rests;
-	std::uint64_t _held_back = 0;
-	std::map<endpoint_identity, std::deque<instant>> _sent; ///< By this node to endpoints with a bound, as long as it counts.
+	named_limits _advertised;
+	endpoint_rests _backoffs;
+	std::uint64_t _deferred_count = 0;
+	std::map<endpoint_identity, std::deque<instant>> _sent_at; ///< Times of this node's sends to bounded endpoints, within the longest span.
 
-	void _note_cold(const endpoint_identity &p_endpoint, double p_rate, duration p_left, instant p_now);
+	void _set_cold(const endpoint_identity &p_endpoint, double p_rate, duration p_left, instant p_now);
 	std::vector<rate_bound> _get_bounds(const endpoint_identity &p_endpoint, instant p_now) const;
 	std::string _find_zone(const endpoint_identity &p_endpoint) const;
-	std::size_t _count_soon(const endpoint_identity &p_endpoint, const rate_bound &p_bound, sender_part p_part);
-	std::size_t _count_own(const endpoint_identity &p_endpoint, const rate_bound &p_bound, sender_part p_part, instant p_now);
-	std::optional<duration> _get_wait_by_rank(const endpoint_identity &p_endpoint, const rate_bound &p_bound, sender_part p_part, instant p_now);
+	std::size_t _count_soon(const endpoint_identity &p_endpoint, const rate_bound &p_bound, sender_part p_share);
+	std::size_t _count_own(const endpoint_identity &p_endpoint, const rate_bound &p_bound, sender_part p_share, instant p_now);
+	std::optional<duration> _get_wait_by_rank(const endpoint_identity &p_endpoint, const rate_bound &p_bound, sender_part p_share, instant p_now);
 	std::optional<duration> _get_wait_evenly(const endpoint_identity &p_endpoint, const rate_bound &p_bound, instant p_now) const;
-	/** Adds when this node's places at an endpoint come free, the next p_most of them. */
-	void _add_free_places(const endpoint_identity &p_endpoint, const rate_bound &p_bound, std::size_t p_most, instant p_now, std::vector<instant> &r_free_at);
-	static rate_bound _make_named_bound(double p_rate, instant p_since);
-	/** Drops what was kept of sends to endpoints that have no bound any more. */
+	/** Appends the times at which this node's next p_max slots at an endpoint become free. */
+	void _add_free_slots(const endpoint_identity &p_endpoint, const rate_bound &p_bound, std::size_t p_max, instant p_now, std::vector<instant> &r_free_at);
+	static rate_bound _make_advertised_bound(double p_rate, instant p_since);
+	/** Removes the stored sends to endpoints that have no bound any more. */
 	void _forget_unbounded();
 
 public:
 	endpoint_limits(std::string p_vm, std::string p_zone, limit_sharing p_sharing) :
-			_sharing(p_sharing), _places(p_vm, std::move(p_zone)), _named(std::move(p_vm)) {}
+			_sharing(p_sharing), _slots(p_vm, std::move(p_zone)), _advertised(std::move(p_vm)) {}
 
-	/** Takes the list of endpoints. Those whose entry says that they are cold are, from when it was told first. */
+	/** Sets the list of endpoints. An entry's remaining cold time counts from when this node first received it. */
 	void set_listings(const std::vector<endpoint_listing> &p_listings, const gateway_configuration &p_configuration, instant p_now);
 
-	/** An answer of an endpoint said how much longer it is cold. */
+	/** Applies the remaining cold time from an endpoint's answer. */
 	void on_cold(const endpoint_identity &p_endpoint, const gateway_configuration &p_configuration, duration p_left, instant p_now);
 
 	/**
-	 * An evacuated zone was taken back: its endpoints count as cold for as long as after a start, as they may have been restarted
-	 * meanwhile and their entries may be read a moment later than the operator's record.
+	 * Treats the endpoints of a zone whose evacuation was ended as cold, for as long as after a start: they may have been
+	 * restarted meanwhile, and their entries may be read slightly later than the operator's record.
 	 */
 	void on_taken_back(const std::string &p_zone, const std::vector<endpoint_listing> &p_listings, const gateway_configuration &p_configuration, instant p_now);
 
-	/** Whom this node shares with. To be called often from its start on, as places count from when they are had. */
-	void set_senders(const known_senders &p_senders, instant p_now) { _places.set_senders(p_senders, p_now); }
+	/**
+	 * Sets the nodes that share the rates. Call it often from the node's start on, as a slot may be used only some time after it
+	 * was assigned.
+	 */
+	void set_senders(const known_senders &p_senders, instant p_now) { _slots.set_senders(p_senders, p_now); }
 
-	/** How long until this node may send an endpoint one request more; empty when it has no place there as things are, or it rests. */
-	std::optional<duration> get_wait(const endpoint_identity &p_endpoint, sender_part p_part, instant p_now);
+	/** Returns the time until this node may send an endpoint another request; empty when it has no slot or the endpoint is backed off. */
+	std::optional<duration> get_wait(const endpoint_identity &p_endpoint, sender_part p_share, instant p_now);
 
-	/** Whether this node may send an endpoint one request more now. */
-	bool may_send(const endpoint_identity &p_endpoint, sender_part p_part, instant p_now);
+	/** Returns whether this node may send an endpoint another request now, and counts the refusals. */
+	bool may_send(const endpoint_identity &p_endpoint, sender_part p_share, instant p_now);
 
-	/** This node sent a request. */
+	/** Records that this node sent a request. */
 	void on_sent(const endpoint_identity &p_endpoint, instant p_now);
 
 	/**
-	 * Forgets endpoints that are warm by now, but for those whose entry still says what it said when it was taken, and limits that
-	 * nobody spoke of for long.
-	 * @return endpoints whose limit is forgotten.
+	 * Removes endpoints that are no longer cold, except those whose entry still has the cold time that was applied, and limits
+	 * that haven't been reported for long.
+	 * @return endpoints whose limit was removed.
 	 */
 	std::vector<endpoint_identity> forget_old(instant p_now);
 
-	/** Endpoints that asked this node for rest. */
-	endpoint_rests &get_rests() { return _rests; }
-	const endpoint_rests &get_rests() const { return _rests; }
+	/** Endpoints that requested a back-off from this node. */
+	endpoint_rests &get_rests() { return _backoffs; }
+	const endpoint_rests &get_rests() const { return _backoffs; }
 
-	/** Limits that endpoints name. */
-	named_limits &get_named() { return _named; }
-	const named_limits &get_named() const { return _named; }
+	/** Limits that endpoints advertise. */
+	named_limits &get_named() { return _advertised; }
+	const named_limits &get_named() const { return _advertised; }
 
 	/**
-	 * When a request may be sent to one of these endpoints, as things are.
-	 * @param p_before requests that are to be sent to the same ones before it.
+	 * Predicts when a request may be sent to one of these endpoints, from the current bounds.
+	 * @param p_before number of queued requests to the same endpoints that come before it.
 	 */
 	send_prospect predict(const std::vector<endpoint_identity> &p_endpoints, std::size_t p_before, instant p_now);
 
-	/** The endpoint on the list at an address; empty when there is none. */
+	/** Returns the listed endpoint at an address; empty when there is none. */
 	std::optional<endpoint_identity> find_at(const network_address &p_address) const;
 
-	/** Whether any endpoint is bounded, or rests. */
-	bool is_any_bounded() const { return !_cold.empty() || !_named.is_empty() || _rests.count() > 0; }
+	/** Returns whether any endpoint is bounded or backed off. */
+	bool is_any_bounded() const { return !_cold.empty() || !_advertised.is_empty() || _backoffs.count() > 0; }
 
-	/** Sends to endpoints that were held back by what the endpoint takes, once for each time that may_send() said no. */
-	std::uint64_t get_held_back() const { return _held_back; }
+	/** Returns how often may_send() has returned false. */
+	std::uint64_t get_held_back() const { return _deferred_count; }
 
-	/** How many endpoints are cold. */
 	std::size_t get_cold_count(instant p_now) const;
 };
 
--- a/servers/gateway/endpoint_rests.h
+++ b/servers/gateway/endpoint_rests.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: endpoint_rests.h
- * Endpoints that asked this node for rest, and until when.
+ * Back-off times that endpoints requested from this node.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,31 +18,32 @@
 namespace calicoscale {
 
 /**
- * An endpoint that turns a request away may name a time in which it wants nothing from the node that sent it. Other nodes are
- * not meant, and it may serve them; so they are not told. The later end counts when it asks more than once.
+ * An endpoint that rejects a request may specify a time in which the node that sent it must send nothing more: its back-off.
+ * The back-off doesn't apply to other nodes, which the endpoint may still serve, so it isn't reported to them. When an endpoint
+ * requests several, the latest end applies.
  */
 class endpoint_rests {
 	std::map<endpoint_identity, instant> _until;
 
 public:
-	/** An endpoint asked for rest. */
-	void add(const endpoint_identity &p_endpoint, duration p_rest, instant p_now) {
+	/** Adds a back-off that an endpoint requested. */
+	void add(const endpoint_identity &p_endpoint, duration p_backoff, instant p_now) {
 		instant &until = _until[p_endpoint];
-		until = std::max(until, p_now + p_rest);
+		until = std::max(until, p_now + p_backoff);
 	}
 
-	/** How much longer an endpoint rests; zero when it does not. */
+	/** Returns the remaining back-off of an endpoint; zero when it has none. */
 	duration get_left(const endpoint_identity &p_endpoint, instant p_now) const {
 		const auto found = _until.find(p_endpoint);
 		return found == _until.end() ? duration::zero() : std::max(duration::zero(), found->second - p_now);
 	}
 
-	/** Forgets those that have rested. */
+	/** Removes back-offs that have ended. */
 	void forget_old(instant p_now) {
 		std::erase_if(_until, [p_now](const auto &p_entry) { return p_entry.second <= p_now; });
 	}
 
-	/** How many endpoints rest; those that have rested since the last forget_old() included. */
+	/** Returns the number of stored back-offs, including those that have ended since the last forget_old(). */
 	std::size_t count() const { return _until.size(); }
 };
 
--- a/servers/gateway/entry_fault.h
+++ b/servers/gateway/entry_fault.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: entry_fault.h
- * Why a record in the endpoints' topic names no endpoint to use.
+ * Faults that make a record in the endpoints' topic unusable.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,17 +18,17 @@
 
 /** The first fault found in a record. Anyone may write records, so each of these is expected. */
 enum class entry_fault {
-	UNREADABLE, ///< No document at all: other bytes, invalid UTF-8, too long.
-	NO_OBJECT, ///< A document of another kind.
-	BAD_NAME, ///< The key cannot stand in a request.
+	UNREADABLE, ///< Not a JSON document: other bytes, invalid UTF-8, or too long.
+	NO_OBJECT, ///< A document that isn't an object.
+	BAD_NAME, ///< The key can't be part of a request.
 	BAD_SERVICE,
-	BAD_ADDRESS, ///< No IPv4 address and port to connect to.
+	BAD_ADDRESS, ///< Not an IPv4 address and port.
 	BAD_ZONE,
-	BAD_STATE, ///< Missing or no text.
-	UNKNOWN_STATE, ///< A text, but neither serving nor leaving.
-	BAD_START, ///< Not a whole number, or too late to be a time.
-	MISSING_START, ///< While the other endpoints tell theirs.
-	BAD_DETAIL, ///< Another field that the platform describes is of another type.
+	BAD_STATE, ///< Missing, or not a string.
+	UNKNOWN_STATE, ///< A string, but neither serving nor leaving.
+	BAD_START, ///< Not an integer, or too large for a time.
+	MISSING_START, ///< Missing although most endpoints report theirs.
+	BAD_DETAIL, ///< Another field defined by the platform has the wrong type.
 };
 
 inline constexpr std::array<enum_name<entry_fault>, 11> ENTRY_FAULT_NAMES{ {
@@ -45,7 +45,7 @@
 		{ entry_fault::BAD_DETAIL, "bad_detail" },
 } };
 
-/** Name of a fault, e.g. "bad_address". */
+/** Returns the name of a fault, e.g. "bad_address". */
 constexpr std::string_view get_name(entry_fault p_fault) {
 	return find_name(ENTRY_FAULT_NAMES, p_fault);
 }
--- a/servers/gateway/evacuation_table.cpp
+++ b/servers/gateway/evacuation_table.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: evacuation_table.cpp
- * Which availability zones are evacuated, by the newest reading of the operator's records.
+ * Evacuated availability zones, according to the newest known read of the operator's records.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -16,10 +16,10 @@
 	const bool is_new_era = _known != log_position() && p_known.era != _known.era;
 	if (is_new_era) {
 		for (const std::string &zone : _zones) {
-			_kept.emplace(zone, p_now + KEPT_AFTER_ERA);
+			_retained.emplace(zone, p_now + KEPT_AFTER_ERA);
 		}
 	}
-	std::erase_if(_kept, [&p_zones](const auto &p_entry) { return p_zones.contains(p_entry.first); });
+	std::erase_if(_retained, [&p_zones](const auto &p_entry) { return p_zones.contains(p_entry.first); });
 	_known = p_known;
 	_zones = std::move(p_zones);
 }
@@ -33,7 +33,7 @@
 			continue;
 		}
 		_known.offset = record.offset + 1;
-		_kept.erase(record.zone);
+		_retained.erase(record.zone);
 		if (record.is_evacuated) {
 			_zones.insert(record.zone);
 		} else {
@@ -58,12 +58,12 @@
 }
 
 void evacuation_table::tick(instant p_now) {
-	std::erase_if(_kept, [p_now](const auto &p_entry) { return p_entry.second <= p_now; });
+	std::erase_if(_retained, [p_now](const auto &p_entry) { return p_entry.second <= p_now; });
 }
 
 std::set<std::string> evacuation_table::get_zones() const {
 	std::set<std::string> zones = _zones;
-	for (const auto &[zone, ends_at] : _kept) {
+	for (const auto &[zone, ends_at] : _retained) {
 		zones.insert(zone);
 	}
 	return zones;
@@ -75,7 +75,7 @@
 
 std::optional<instant> evacuation_table::get_next_end() const {
 	std::optional<instant> next;
-	for (const auto &[zone, ends_at] : _kept) {
+	for (const auto &[zone, ends_at] : _retained) {
 		next = std::min(next.value_or(ends_at), ends_at);
 	}
 	return next;
