--- a/servers/gateway/event_splitter.cpp
+++ b/servers/gateway/event_splitter.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: event_splitter.cpp
- * Cuts a stream of events into whole events, so that a break never leaves half of one.
+ * Splits an event stream into complete events, so that an interruption never leaves a partial event.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,8 +18,8 @@
 
 } // namespace
 
-bool event_splitter::_pass_mark() {
-	const std::string_view begun = std::string_view(_held).substr(0, BYTE_ORDER_MARK.size());
+bool event_splitter::_check_mark() {
+	const std::string_view begun = std::string_view(_buffer).substr(0, BYTE_ORDER_MARK.size());
 	if (begun.size() < BYTE_ORDER_MARK.size() && BYTE_ORDER_MARK.starts_with(begun)) {
 		return false;
 	}
@@ -28,7 +28,7 @@
 		return true;
 	}
 	if (_drops_mark) {
-		_held.erase(0, BYTE_ORDER_MARK.size());
+		_buffer.erase(0, BYTE_ORDER_MARK.size());
 	} else {
 		_line_start = BYTE_ORDER_MARK.size();
 	}
@@ -42,14 +42,14 @@
 	_next_id.reset();
 	_events += _has_field ? 1 : 0;
 	_has_field = false;
-	_has_handed_part = false;
+	_has_returned_part = false;
 }
 
-bool event_splitter::_take_line(std::string_view p_line) {
-	if (_has_lost_line_start) {
-		_has_lost_line_start = false;
+bool event_splitter::_process_line(std::string_view p_line) {
+	if (_has_returned_line_start) {
+		_has_returned_line_start = false;
 		_has_field = true;
-		// The line may have been the event's id.
+		// The line may have been the event's id, which is unknown now.
 		_next_id = _next_id.value_or("");
 		return false;
 	}
@@ -62,7 +62,7 @@
 	if (p_line.substr(0, colon) == ID_FIELD) {
 		std::string_view id = colon == std::string_view::npos ? std::string_view() : p_line.substr(colon + 1);
 		id.remove_prefix(id.starts_with(' ') ? 1 : 0);
-		// The standard ignores such an id.
+		// The standard requires that an id with a null character is ignored.
 		if (id.find('\0') == std::string_view::npos) {
 			_next_id = std::string(id);
 		}
@@ -71,64 +71,64 @@
 }
 
 std::string event_splitter::take(std::string_view p_bytes) {
-	std::size_t next = _held.size();
-	_held.append(p_bytes);
+	std::size_t next = _buffer.size();
+	_buffer.append(p_bytes);
 	if (_is_at_start) {
-		if (!_pass_mark()) {
+		if (!_check_mark()) {
 			return "";
 		}
 		next = _line_start;
 	}
-	std::size_t whole = 0;
-	while (next < _held.size()) {
+	std::size_t complete_bytes = 0;
+	while (next < _buffer.size()) {
 		if (_is_after_return) {
 			_is_after_return = false;
-			if (_held[next] == '\n') {
-				whole = next == whole ? next + 1 : whole;
+			if (_buffer[next] == '\n') {
+				complete_bytes = next == complete_bytes ? next + 1 : complete_bytes;
 				_line_start = ++next;
 				continue;
 			}
 		}
-		const std::size_t end = _held.find_first_of(LINE_ENDS, next);
+		const std::size_t end = _buffer.find_first_of(LINE_ENDS, next);
 		if (end == std::string::npos) {
 			break;
 		}
-		_is_after_return = _held[end] == '\r';
+		_is_after_return = _buffer[end] == '\r';
 		next = end + 1;
-		if (_take_line(std::string_view(_held).substr(_line_start, end - _line_start))) {
-			whole = next;
+		if (_process_line(std::string_view(_buffer).substr(_line_start, end - _line_start))) {
+			complete_bytes = next;
 		}
 		_line_start = next;
 	}
-	if (_held.size() - whole > _most_held) {
-		_has_lost_line_start = _has_lost_line_start || _held.size() > _line_start;
-		_has_handed_part = true;
-		whole = _held.size();
+	if (_buffer.size() - complete_bytes > _max_buffered) {
+		_has_returned_line_start = _has_returned_line_start || _buffer.size() > _line_start;
+		_has_returned_part = true;
+		complete_bytes = _buffer.size();
 	}
-	std::string events = _held.substr(0, whole);
-	_held.erase(0, whole);
-	_has_handed_out = _has_handed_out || whole > 0;
-	_line_start = _line_start > whole ? _line_start - whole : 0;
+	std::string events = _buffer.substr(0, complete_bytes);
+	_buffer.erase(0, complete_bytes);
+	_has_returned_bytes = _has_returned_bytes || complete_bytes > 0;
+	_line_start = _line_start > complete_bytes ? _line_start - complete_bytes : 0;
 	return events;
 }
 
 bool event_splitter::is_inside_event() const {
-	return _has_field || _has_handed_part || _held.size() > _line_start;
+	return _has_field || _has_returned_part || _buffer.size() > _line_start;
 }
 
 std::string event_splitter::take_rest() {
-	std::string rest;
-	rest.swap(_held);
+	std::string remainder;
+	remainder.swap(_buffer);
 	_line_start = 0;
-	return rest;
+	return remainder;
 }
 
 void event_splitter::restart() {
-	event_splitter next(_most_held);
+	event_splitter next(_max_buffered);
 	next._last_id = std::move(_last_id);
 	next._events = _events;
-	next._has_handed_out = _has_handed_out;
-	next._drops_mark = _has_handed_out;
+	next._has_returned_bytes = _has_returned_bytes;
+	next._drops_mark = _has_returned_bytes;
 	*this = std::move(next);
 }
 
--- a/servers/gateway/gateway_configuration.cpp
+++ b/servers/gateway/gateway_configuration.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: gateway_configuration.cpp
- * What a gateway serves: routes, services, customers and limits, as one version.
+ * One version of a gateway's configuration: routes, services, customers and limits.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -70,10 +70,10 @@
 	for (const service_share &share : p_route.services) {
 		total += share.weight;
 	}
-	double left = p_unit * total;
+	double remaining = p_unit * total;
 	for (const service_share &share : p_route.services) {
-		left -= share.weight;
-		if (left < 0.0 && share.weight > 0.0) {
+		remaining -= share.weight;
+		if (remaining < 0.0 && share.weight > 0.0) {
 			return share.service;
 		}
 	}
--- a/servers/gateway/lost_runs.cpp
+++ b/servers/gateway/lost_runs.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: lost_runs.cpp
- * Runs whose connection ended, until it is known whether their endpoint ended too.
+ * Runs with an unknown outcome, whose connection was closed, until it is known whether their endpoint crashed.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -22,10 +22,10 @@
 		{ probe_end::SILENT, "silent" },
 } };
 
-/** An entry goes after three heartbeats of silence, of 1.2 s each in the settings at hand, and is read each 0.9 s. */
-constexpr duration ENTRY_TIME = std::chrono::seconds(6);
-/** Runs blamed for the end of one endpoint; more than any endpoint at hand works on at once. */
-constexpr std::size_t MOST_RUNS = 256;
+/** An entry expires after three missed heartbeats, of 1.2 s each in the current settings, and entries are read every 0.9 s. */
+constexpr duration ENTRY_EXPIRY_TIME = std::chrono::seconds(6);
+/** Maximum of runs stored for one endpoint; more than any current endpoint runs concurrently. */
+constexpr std::size_t MAX_RUNS = 256;
 
 } // namespace
 
@@ -34,11 +34,11 @@
 }
 
 bool lost_runs::add(const endpoint_identity &p_endpoint, const request_fingerprint &p_run, instant p_now) {
-	loss &entry = _losses[p_endpoint];
+	unresolved_runs &entry = _unresolved[p_endpoint];
 	if (entry.runs.empty()) {
 		entry.lost_at = p_now;
 	}
-	if (entry.runs.size() < MOST_RUNS) {
+	if (entry.runs.size() < MAX_RUNS) {
 		entry.runs.push_back(p_run);
 	}
 	if (entry.is_probed) {
@@ -49,8 +49,8 @@
 }
 
 std::vector<request_fingerprint> lost_runs::on_probed(const endpoint_identity &p_endpoint, probe_end p_end) {
-	const auto found = _losses.find(p_endpoint);
-	if (found == _losses.end()) {
+	const auto found = _unresolved.find(p_endpoint);
+	if (found == _unresolved.end()) {
 		return {};
 	}
 	if (p_end == probe_end::SILENT) {
@@ -61,18 +61,18 @@
 	if (p_end == probe_end::REFUSED) {
 		runs.swap(found->second.runs);
 	}
-	_losses.erase(found);
+	_unresolved.erase(found);
 	return runs;
 }
 
 std::vector<ended_endpoint> lost_runs::take_ended(const std::function<bool(const endpoint_identity &)> &p_is_listed, instant p_now) {
 	std::vector<ended_endpoint> ended;
-	for (auto entry = _losses.begin(); entry != _losses.end();) {
-		const bool has_ended = !p_is_listed(entry->first);
-		if (has_ended) {
+	for (auto entry = _unresolved.begin(); entry != _unresolved.end();) {
+		const bool is_removed = !p_is_listed(entry->first);
+		if (is_removed) {
 			ended.push_back(ended_endpoint{ entry->first, std::move(entry->second.runs), entry->second.lost_at });
 		}
-		entry = has_ended || p_now - entry->second.lost_at > ENTRY_TIME ? _losses.erase(entry) : std::next(entry);
+		entry = is_removed || p_now - entry->second.lost_at > ENTRY_EXPIRY_TIME ? _unresolved.erase(entry) : std::next(entry);
 	}
 	return ended;
 }
--- a/servers/gateway/lost_runs.h
+++ b/servers/gateway/lost_runs.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: lost_runs.h
- * Runs whose connection ended, until it is known whether their endpoint ended too.
+ * Runs with an unknown outcome, whose connection was closed, until it is known whether their endpoint crashed.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -20,48 +20,53 @@
 
 namespace calicoscale {
 
-/** What a new connection to an endpoint met. */
+/** Result of a probe: an attempt to connect to an endpoint. */
 enum class probe_end {
-	REFUSED, ///< Nobody listens there: its process has ended.
-	ACCEPTED, ///< It is there: only connections ended.
-	SILENT, ///< Nothing came back: it may have lost power, or the path to it is cut.
+	REFUSED, ///< No process listens at the address: the endpoint has exited.
+	ACCEPTED, ///< The endpoint is running: only connections were closed.
+	SILENT, ///< No response: the VM may have failed, or the network path to it is interrupted.
 };
 
-/** Name of an end, e.g. "refused". */
+/** Returns the name of a result, e.g. "refused". */
 std::string_view get_name(probe_end p_end);
 
-/** Runs that were at work at an endpoint when it ended. */
+/** An endpoint that crashed, with the runs it was working on. */
 struct ended_endpoint {
 	endpoint_identity endpoint;
 	std::vector<request_fingerprint> runs;
-	instant lost_at{}; ///< When the first of them was lost.
+	instant lost_at{}; ///< When the connection of the first of these runs was closed.
 };
 
 /**
- * A connection that broke says nothing about the request on it: resets, cuts and full endpoints break connections too. What
- * counts is a run that was lost at an endpoint that ended, so each loss waits here for what a new connection meets, and
- * where nothing comes back, for the endpoint's entry to go. Told the time with each call.
+ * A closed connection says nothing about the request on it: resets, network interruptions and overloaded endpoints close
+ * connections as well. Only runs at an endpoint that crashed are evidence. So each run is stored here until a probe of its
+ * endpoint has a result, or, when the probe gets no response, until the endpoint's entry is removed. The caller passes the
+ * current time.
  */
 class lost_runs {
-	struct loss {
+	struct unresolved_runs {
 		std::vector<request_fingerprint> runs;
 		instant lost_at{};
-		bool is_probed = false; ///< A probe is under way.
+		bool is_probed = false; ///< Whether a probe is running.
 	};
 
-	std::map<endpoint_identity, loss> _losses;
+	std::map<endpoint_identity, unresolved_runs> _unresolved;
 
 public:
-	/** A run was lost. @return whether its endpoint is to be probed now. */
+	/** Adds a run whose connection was closed. @return whether the caller is to probe the endpoint now. */
 	bool add(const endpoint_identity &p_endpoint, const request_fingerprint &p_run, instant p_now);
 
-	/** A probe ended. @return the runs to blame; none while nothing is known, and none for good when the endpoint is there. */
+	/**
+	 * Applies the result of a probe.
+	 * @return the runs that may have crashed the endpoint. Empty when there was no response, in which case the runs stay stored,
+	 * and when the endpoint is running, in which case they are removed.
+	 */
 	std::vector<request_fingerprint> on_probed(const endpoint_identity &p_endpoint, probe_end p_end);
 
-	/** Endpoints whose entry went after runs were lost there. Forgets what stays unknown for longer than entries take to go. */
+	/** Returns endpoints with stored runs whose entry was removed. Drops runs that stay undecided for longer than an entry needs to expire. */
 	std::vector<ended_endpoint> take_ended(const std::function<bool(const endpoint_identity &)> &p_is_listed, instant p_now);
 
-	bool is_empty() const { return _losses.empty(); }
+	bool is_empty() const { return _unresolved.empty(); }
 };
 
 } // namespace calicoscale
--- a/servers/gateway/mechanism.cpp
+++ b/servers/gateway/mechanism.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: mechanism.cpp
- * What the gateway decides by, so that each part can be switched off and its worth measured.
+ * Mechanisms of the gateway's decisions that can be switched off one by one, to measure their effect.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
--- a/servers/gateway/message_budget.h
+++ b/servers/gateway/message_budget.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: message_budget.h
- * How many messages a node may send at once beyond those of its heartbeats.
+ * Budget of messages that a node may send immediately, in addition to its heartbeats.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -15,7 +15,7 @@
 
 namespace calicoscale {
 
-/** Bounds what a node spends on telling others at once, whatever the size of the fleet and its load. */
+/** Token bucket that bounds a node's cost of immediate messages, whatever the size and load of the fleet. */
 class message_budget {
 	double _tokens;
 	instant _filled_at{};
@@ -23,7 +23,7 @@
 public:
 	message_budget();
 
-	/** Whether so many messages are within the budget; takes them out of it if so. */
+	/** Returns whether the budget covers a number of messages, and subtracts them if so. */
 	bool try_spend(std::size_t p_messages, instant p_now);
 };
 
--- a/servers/gateway/named_limits.cpp
+++ b/servers/gateway/named_limits.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: named_limits.cpp
- * Limits that endpoints name in their answers, and for how long each is believed.
+ * Limits that endpoints advertise in their answers, and how long each is valid.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -19,12 +19,12 @@
 
 namespace {
 
-/** An endpoint that names another limit with each answer is told of this often at most. */
-constexpr duration CHANGE_PAUSE = std::chrono::milliseconds(500);
-/** News of the same that comes by two ways differs in its time by what the ways take. */
-constexpr duration NEWS_GRAIN = std::chrono::seconds(1);
-/** An unconfirmed limit is forgotten after so many lifetimes. */
-constexpr int LIFETIMES_KEPT = 4;
+/** Minimum interval between reports of changed limits of one endpoint, which may advertise another limit with each answer. */
+constexpr duration MIN_CHANGE_INTERVAL = std::chrono::milliseconds(500);
+/** Reports of the same limit that arrive over two paths differ in their time by the difference in latency. */
+constexpr duration UPDATE_TIME_TOLERANCE = std::chrono::seconds(1);
+/** Number of lifetimes after which an unconfirmed limit is removed. */
+constexpr int MAX_LIFETIMES = 4;
 
 constexpr std::array<enum_name<limit_change>, static_cast<std::size_t>(limit_change::COUNT)> CHANGE_NAMES{ {
 		{ limit_change::NONE, "none" },
@@ -40,12 +40,12 @@
 	return find_name(CHANGE_NAMES, p_change);
 }
 
-limit_change named_limits::_believe(const limit_record &p_record) {
+limit_change named_limits::_apply(const limit_record &p_record) {
 	const bool was_known = _limits.contains(p_record.endpoint);
 	if (!was_known && !p_record.rate) {
 		return limit_change::NONE;
 	}
-	believed_limit &limit = _limits[p_record.endpoint];
+	known_limit &limit = _limits[p_record.endpoint];
 	const std::optional<double> before = limit.rate;
 	limit.rate = p_record.rate;
 	limit.at = p_record.at;
@@ -59,10 +59,10 @@
 	return *before == *p_record.rate ? limit_change::RENEWED : limit_change::CHANGED;
 }
 
-void named_limits::_tell(const endpoint_identity &p_endpoint, instant p_now) {
-	believed_limit &limit = _limits.at(p_endpoint);
-	limit.told_at = p_now;
-	_news.push_back(limit_record{ p_endpoint, limit.rate, limit.at });
+void named_limits::_queue_update(const endpoint_identity &p_endpoint, instant p_now) {
+	known_limit &limit = _limits.at(p_endpoint);
+	limit.reported_at = p_now;
+	_updates.push_back(limit_record{ p_endpoint, limit.rate, limit.at });
 }
 
 limit_change named_limits::on_answer(const endpoint_identity &p_endpoint, const endpoint_notice &p_notice, bool p_is_signed, instant p_sent_at, instant p_now) {
@@ -77,11 +77,11 @@
 		}
 	}
 	const std::optional<double> rate = p_notice.limit == limit_statement::NAMED ? std::optional(p_notice.rate_limit) : std::nullopt;
-	const limit_change change = _believe(limit_record{ p_endpoint, rate, p_now });
-	const duration untold = p_now - _limits.at(p_endpoint).told_at;
+	const limit_change change = _apply(limit_record{ p_endpoint, rate, p_now });
+	const duration since_report = p_now - _limits.at(p_endpoint).reported_at;
 	const bool is_begin_or_end = change == limit_change::NAMED || change == limit_change::ENDED;
-	if (is_begin_or_end || untold >= RENEWAL || (change == limit_change::CHANGED && untold >= CHANGE_PAUSE)) {
-		_tell(p_endpoint, p_now);
+	if (is_begin_or_end || since_report >= RENEWAL || (change == limit_change::CHANGED && since_report >= MIN_CHANGE_INTERVAL)) {
+		_queue_update(p_endpoint, p_now);
 	}
 	return change;
 }
@@ -90,13 +90,13 @@
 	const auto known = _limits.find(p_record.endpoint);
 	if (known != _limits.end()) {
 		const bool is_same = known->second.rate == p_record.rate;
-		if (p_record.at <= known->second.at + (is_same ? NEWS_GRAIN : duration::zero())) {
+		if (p_record.at <= known->second.at + (is_same ? UPDATE_TIME_TOLERANCE : duration::zero())) {
 			return limit_change::NONE;
 		}
 	}
-	const limit_change change = _believe(p_record);
+	const limit_change change = _apply(p_record);
 	if (change != limit_change::NONE) {
-		_limits.at(p_record.endpoint).told_at = p_now;
+		_limits.at(p_record.endpoint).reported_at = p_now;
 	}
 	return change;
 }
@@ -106,7 +106,7 @@
 	return known == _limits.end() ? std::nullopt : known->second.rate;
 }
 
-instant named_limits::_get_confirmed_until(const endpoint_identity &p_endpoint, const believed_limit &p_limit) const {
+instant named_limits::_get_confirmed_until(const endpoint_identity &p_endpoint, const known_limit &p_limit) const {
 	const std::uint64_t score = hash_bytes(_vm, hash_bytes(p_endpoint.vm, p_endpoint.incarnation));
 	const double phase = static_cast<double>(score) / static_cast<double>(std::numeric_limits<std::uint64_t>::max());
 	return p_limit.at + LIFETIME + from_seconds(to_seconds(LIFETIME) * phase);
@@ -118,28 +118,28 @@
 }
 
 std::vector<endpoint_identity> named_limits::forget_old(instant p_now) {
-	std::vector<endpoint_identity> forgotten;
-	std::erase_if(_limits, [&forgotten, p_now](const auto &p_entry) {
-		const believed_limit &limit = p_entry.second;
-		const bool is_old = p_now - limit.at >= LIFETIME * (limit.rate ? LIFETIMES_KEPT : 1);
+	std::vector<endpoint_identity> removed;
+	std::erase_if(_limits, [&removed, p_now](const auto &p_entry) {
+		const known_limit &limit = p_entry.second;
+		const bool is_old = p_now - limit.at >= LIFETIME * (limit.rate ? MAX_LIFETIMES : 1);
 		if (is_old && limit.rate) {
-			forgotten.push_back(p_entry.first);
+			removed.push_back(p_entry.first);
 		}
 		return is_old;
 	});
-	return forgotten;
+	return removed;
 }
 
 std::vector<limit_record> named_limits::take_news() {
-	std::vector<limit_record> news;
-	news.swap(_news);
-	return news;
+	std::vector<limit_record> updates;
+	updates.swap(_updates);
+	return updates;
 }
 
-std::vector<limit_record> named_limits::get_records(std::size_t p_most) const {
+std::vector<limit_record> named_limits::get_records(std::size_t p_max) const {
 	std::vector<limit_record> records;
 	for (const auto &[endpoint, limit] : _limits) {
-		if (records.size() < p_most) {
+		if (records.size() < p_max) {
 			records.push_back(limit_record{ endpoint, limit.rate, limit.at });
 		}
 	}
--- a/servers/gateway/named_limits.h
+++ b/servers/gateway/named_limits.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: named_limits.h
- * Limits that endpoints name in their answers, and for how long each is believed.
+ * Limits that endpoints advertise in their answers, and how long each is valid.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -19,87 +19,88 @@
 
 namespace calicoscale {
 
-/** What an answer said of its endpoint's limit, to tell other nodes. */
+/** An endpoint's limit according to one of its answers, as nodes exchange it. */
 struct limit_record {
 	endpoint_identity endpoint;
-	std::optional<double> rate; ///< Requests a second; empty when the limit is over.
-	instant at{}; ///< When the answer came.
+	std::optional<double> rate; ///< Requests a second; empty when the endpoint no longer has a limit.
+	instant at{}; ///< When the answer was received.
 };
 
-/** What became of the belief about an endpoint's limit. */
+/** How the known limit of an endpoint changed. */
 enum class limit_change {
 	NONE,
-	NAMED, ///< It has a limit, where none was known.
-	CHANGED, ///< It has another one.
-	RENEWED, ///< It still has the one that was known.
-	ENDED, ///< It said that it has none any more.
+	NAMED, ///< It has a limit, and none was known before.
+	CHANGED, ///< It has another limit than was known.
+	RENEWED, ///< It still has the known limit.
+	ENDED, ///< It no longer has a limit.
 	COUNT, ///< Number of the others.
 };
 
-/** Name of a change, e.g. "named". */
+/** Returns the name of a change, e.g. "named". */
 std::string_view get_name(limit_change p_change);
 
 /**
- * Believes the newest answer, whoever got it. A limit holds for as long as the endpoint names it: an answer without one ends it,
- * if its request was sent after the last answer that named it. Nodes without a place at the endpoint hear of it from those that
- * have one, who tell it again now and then.
+ * Stores the limit from the newest answer that any node received. A limit is valid as long as the endpoint advertises it: an
+ * answer without a limit ends it if its request was sent after the last answer with the limit was received. Nodes without a
+ * slot at the endpoint get the limit from nodes that have one, which report it again every RENEWAL.
  *
- * A limit that nobody spoke of for LIFETIME is unconfirmed: this node may find out by a request now and then. Each node begins
- * at a moment of its own, so that the first one can tell the others. The belief is forgotten when nothing came of that either.
+ * A limit that hasn't been reported for LIFETIME and a phase of this node is unconfirmed: this node may then check it with an
+ * occasional request. The phase differs between nodes, so that the first one to check can report the result to the others. The
+ * limit is removed if it stays unconfirmed.
  */
 class named_limits {
-	struct believed_limit {
-		std::optional<double> rate; ///< Empty once it ended; kept so that older news does not bring it back.
-		instant at{}; ///< Of the newest answer.
+	struct known_limit {
+		std::optional<double> rate; ///< Empty after the limit ended; the entry is kept so that an older report doesn't restore it.
+		instant at{}; ///< When the newest answer was received.
 		instant first_named_at{};
-		instant told_at{}; ///< When this node told others, or was told.
+		instant reported_at{}; ///< When this node last reported the limit or received a report of it.
 	};
 
 	std::string _vm;
-	std::map<endpoint_identity, believed_limit> _limits;
-	std::vector<limit_record> _news;
+	std::map<endpoint_identity, known_limit> _limits;
+	std::vector<limit_record> _updates;
 
-	limit_change _believe(const limit_record &p_record);
-	void _tell(const endpoint_identity &p_endpoint, instant p_now);
-	instant _get_confirmed_until(const endpoint_identity &p_endpoint, const believed_limit &p_limit) const;
+	limit_change _apply(const limit_record &p_record);
+	void _queue_update(const endpoint_identity &p_endpoint, instant p_now);
+	instant _get_confirmed_until(const endpoint_identity &p_endpoint, const known_limit &p_limit) const;
 
 public:
 	static constexpr duration LIFETIME = std::chrono::seconds(20);
-	/** Limits are told again this often while answers name them. */
+	/** Interval at which an unchanged limit is reported again while answers advertise it. */
 	static constexpr duration RENEWAL = std::chrono::seconds(5);
 
 	explicit named_limits(std::string p_vm) :
 			_vm(std::move(p_vm)) {}
 
 	/**
-	 * An answer came.
-	 * @param p_is_signed whether it is the endpoint's own beyond doubt, so that what it does not say counts.
-	 * @param p_sent_at when its request was sent.
+	 * Applies an answer of an endpoint.
+	 * @param p_is_signed whether the answer certainly comes from the endpoint itself; only then a missing limit ends a limit.
+	 * @param p_sent_at when the request of the answer was sent.
 	 */
 	limit_change on_answer(const endpoint_identity &p_endpoint, const endpoint_notice &p_notice, bool p_is_signed, instant p_sent_at, instant p_now);
 
-	/** Another node told of an answer that it got. */
+	/** Applies a report of another node. */
 	limit_change take(const limit_record &p_record, instant p_now);
 
-	/** Requests a second that an endpoint takes; empty when it names no limit. */
+	/** Returns the requests a second that an endpoint accepts; empty when it has no limit. */
 	std::optional<double> find_rate(const endpoint_identity &p_endpoint) const;
 
-	/** When an endpoint named its limit first; only for endpoints that have one. */
+	/** Returns when an endpoint first advertised its limit. Call it only for endpoints that have one. */
 	instant get_named_at(const endpoint_identity &p_endpoint) const { return _limits.at(p_endpoint).first_named_at; }
 
-	/** Whether the limit was spoken of lately. */
+	/** Returns whether the limit was reported recently enough. */
 	bool is_confirmed(const endpoint_identity &p_endpoint, instant p_now) const;
 
-	/** Forgets what nobody spoke of for long. @return endpoints whose limit is forgotten. */
+	/** Removes limits that haven't been reported for long. @return endpoints whose limit was removed. */
 	std::vector<endpoint_identity> forget_old(instant p_now);
 
-	/** What is to be told to other nodes, since the last call. */
+	/** Returns the updates since the last call, which are sent to other nodes. */
 	std::vector<limit_record> take_news();
 
-	/** All that is believed, for a node that knows nothing yet; p_most of them. */
-	std::vector<limit_record> get_records(std::size_t p_most) const;
+	/** Returns at most p_max known limits, for a node that has just started. */
+	std::vector<limit_record> get_records(std::size_t p_max) const;
 
-	/** How many endpoints have a limit. */
+	/** Returns the number of endpoints that have a limit. */
 	std::size_t count() const;
 
 	bool is_empty() const { return _limits.empty(); }
