--- a/servers/gateway/crash_archive.cpp
+++ b/servers/gateway/crash_archive.cpp
@@ -35,7 +35,7 @@
 	return request_fingerprint{ *target, half_digest{ *high, *low } };
 }
 
-std::optional<crash_news> find_news(std::string_view p_name) {
+std::optional<crash_news> find_event(std::string_view p_name) {
 	for (std::size_t i = 0; i < static_cast<std::size_t>(crash_news::COUNT); i++) {
 		if (get_name(static_cast<crash_news>(i)) == p_name) {
 			return static_cast<crash_news>(i);
@@ -56,14 +56,14 @@
 	if (second == std::string_view::npos) {
 		return std::nullopt;
 	}
-	const std::optional<crash_news> news = find_news(p_text.substr(0, first));
+	const std::optional<crash_news> event = find_event(p_text.substr(0, first));
 	const std::optional<std::uint64_t> subject = parse_hex(p_text.substr(first + 1, second - first - 1));
 	const std::optional<unix_milliseconds> wall = read_wall(p_text.substr(second + 1));
-	if (!news || !subject || !wall) {
+	if (!event || !subject || !wall) {
 		return std::nullopt;
 	}
 	const std::chrono::milliseconds age(std::max<unix_milliseconds>(0, p_now.wall - *wall));
-	return crash_record{ *news, p_run, *subject, p_now.at - age };
+	return crash_record{ *event, p_run, *subject, p_now.at - age };
 }
 
 } // namespace
--- a/tests/servers/gateway/endpoint_address_test.cpp
+++ b/tests/servers/gateway/endpoint_address_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: endpoint_address_test.cpp
- * An address belongs to the endpoint that started there last.
+ * Endpoints that start at an address which the entry of an exited endpoint still has.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -61,7 +61,7 @@
 	EXPECT_EQ(_directory.take_superseded(), (std::vector<endpoint_identity>{ { "old", 0 } }));
 	EXPECT_TRUE(_directory.is_superseded({ "old", 0 }));
 	EXPECT_FALSE(_directory.is_staying({ "old", 0 }));
-	EXPECT_TRUE(_directory.take_superseded().empty()) << "told once";
+	EXPECT_TRUE(_directory.take_superseded().empty()) << "returned only once";
 }
 
 TEST_F(endpoint_address, entries_in_one_answer_count_in_the_order_in_which_they_were_written) {
@@ -96,7 +96,7 @@
 	write(make_listing("old", 0, 2));
 	EXPECT_EQ(get_names(_directory), (names{ "new", "old" }));
 	write(make_listing("old", 0, 1));
-	EXPECT_EQ(get_names(_directory), names{ "old" }) << "and takes its address back when it starts there";
+	EXPECT_EQ(get_names(_directory), names{ "old" }) << "it supersedes the endpoint at its former address when it starts there again";
 }
 
 TEST_F(endpoint_address, of_two_that_are_read_at_once_without_starts_none_is_ended) {
--- a/tests/servers/gateway/endpoint_limits_test.cpp
+++ b/tests/servers/gateway/endpoint_limits_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: endpoint_limits_test.cpp
- * What a whole fleet sends to endpoints that take only so much, under loads that press on them.
+ * Requests that a whole fleet sends to endpoints with a bounded rate, under more load than they accept.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -19,10 +19,10 @@
 namespace {
 
 constexpr double COLD_RATE = 9.1;
-/** What the endpoint withstands in any one second: half as much again, and five. */
-constexpr double MOST_IN_A_SECOND = COLD_RATE * 1.5 + 5.0;
+/** Requests that the endpoint withstands in any one second: one and a half times the rate plus five. */
+constexpr double MAX_IN_A_SECOND = COLD_RATE * 1.5 + 5.0;
 constexpr const char *POOL = "llm";
-/** By the first moment of a test, nodes that were told of each other here have been known to each other for long. */
+/** Nodes that receive their list of senders at this time know each other for long when the test starts. */
 constexpr int LONG_BEFORE_MS = -10000;
 
 instant at_ms(int p_ms) {
@@ -46,7 +46,7 @@
 	return listing;
 }
 
-/** Nodes of some zones before endpoints of the same ones, all told alike that these are cold. */
+/** Nodes and cold endpoints in the same zones; every node knows that the endpoints are cold. */
 struct cold_fleet {
 	gateway_configuration configuration;
 	std::vector<std::string> names;
@@ -81,14 +81,14 @@
 		return found;
 	}
 
-	/** All nodes have known each other for a while. */
-	void tell_all() {
+	/** Sets the senders of all nodes, so that they know each other for long when the test starts. */
+	void set_all_senders() {
 		for (std::size_t i = 0; i < nodes.size(); i++) {
 			nodes[i].set_senders(known_senders{ get_zone_nodes(zones[i]), names.size() }, at_ms(LONG_BEFORE_MS));
 		}
 	}
 
-	/** A request at a node, which has this many of the endpoints to choose from, in the order it likes them best. */
+	/** Sends a request from a node to the first of its preferred endpoints that it may send to. Returns whether there was one. */
 	bool send(std::size_t p_node, const std::vector<std::size_t> &p_preferred, instant p_now) {
 		for (const std::size_t endpoint : p_preferred) {
 			const endpoint_identity identity = endpoints[endpoint].get_identity();
@@ -101,21 +101,21 @@
 		return false;
 	}
 
-	/** Most that one endpoint got in any second. */
-	std::size_t get_most_in_a_second() const {
-		std::size_t most = 0;
+	/** Returns the maximum of requests that one endpoint received in any second. */
+	std::size_t get_max_in_a_second() const {
+		std::size_t max_count = 0;
 		for (const auto &[endpoint, times] : arrived) {
 			for (std::size_t first = 0; first < times.size(); first++) {
 				const auto behind = std::find_if(times.begin() + static_cast<std::ptrdiff_t>(first), times.end(), [&times, first](instant p_time) { return p_time - times[first] >= std::chrono::seconds(1); });
-				most = std::max(most, static_cast<std::size_t>(behind - times.begin()) - first);
+				max_count = std::max(max_count, static_cast<std::size_t>(behind - times.begin()) - first);
 			}
 		}
-		return most;
+		return max_count;
 	}
 };
 
-/** Each millisecond a request at any node, all for the same endpoint: a key that is much asked for. */
-std::size_t press_on_one(cold_fleet &r_fleet, int p_ms) {
+/** Sends a request from a random node every millisecond, all to the same endpoint, as for a hot key. Returns the requests sent. */
+std::size_t load_one_endpoint(cold_fleet &r_fleet, int p_ms) {
 	std::size_t served = 0;
 	for (int ms = 0; ms < p_ms; ms++) {
 		const std::size_t node = static_cast<std::size_t>(r_fleet.random.get_unit() * static_cast<double>(r_fleet.nodes.size()));
@@ -129,18 +129,18 @@
 TEST(endpoint_limits, a_key_that_is_much_asked_for_does_not_overrun_a_cold_endpoint) {
 	for (const int size : { 1, 3, 9, 89, 410 }) {
 		cold_fleet fleet(size, size < 3 ? 1 : 3, 3, limit_sharing::RANKS);
-		fleet.tell_all();
-		const std::size_t served = press_on_one(fleet, 2900);
-		EXPECT_LE(static_cast<double>(fleet.get_most_in_a_second()), COLD_RATE) << size << " nodes";
-		EXPECT_GE(served, 20U) << size << " nodes: it is served, not shunned, with what it bears in 2.9 s";
+		fleet.set_all_senders();
+		const std::size_t served = load_one_endpoint(fleet, 2900);
+		EXPECT_LE(static_cast<double>(fleet.get_max_in_a_second()), COLD_RATE) << size << " nodes";
+		EXPECT_GE(served, 20U) << size << " nodes: the endpoint still gets the requests that it supports in 2.9 s";
 	}
 }
 
 TEST(endpoint_limits, a_whole_zone_that_comes_back_cold_carries_its_part_of_a_burst) {
 	// 89 nodes, 140 engines, 292 requests a second and a burst of 2.6; a third of the engines is cold.
 	cold_fleet fleet(89, 3, 140, limit_sharing::RANKS);
-	fleet.tell_all();
-	int of_zone = 0;
+	fleet.set_all_senders();
+	int zone_requests = 0;
 	int served = 0;
 	for (int i = 0; i < 760 * 2; i++) {
 		const instant now = at_ms(i * 2900 / (760 * 2));
@@ -152,15 +152,15 @@
 		for (std::size_t endpoint = 0; endpoint < fleet.endpoints.size(); endpoint++) {
 			preferred.push_back((endpoint + static_cast<std::size_t>(i) * 37) % fleet.endpoints.size());
 		}
-		of_zone++;
+		zone_requests++;
 		served += fleet.send(node, preferred, now) ? 1 : 0;
 	}
-	EXPECT_LE(static_cast<double>(fleet.get_most_in_a_second()), COLD_RATE);
-	EXPECT_EQ(served, of_zone) << "each node of the zone has places at some of its cold engines";
+	EXPECT_LE(static_cast<double>(fleet.get_max_in_a_second()), COLD_RATE);
+	EXPECT_EQ(served, zone_requests) << "each node of the zone has slots at some of its cold engines";
 }
 
 TEST(endpoint_limits, the_bound_holds_while_two_halves_of_a_zone_do_not_hear_each_other) {
-	// Members that fell silent stay known for a while; here each half has forgotten the other already.
+	// Silent members stay known for a while; here each half has already removed the other.
 	cold_fleet fleet(89, 1, 3, limit_sharing::RANKS);
 	for (std::size_t i = 0; i < fleet.nodes.size(); i++) {
 		std::vector<std::string> half;
@@ -169,8 +169,8 @@
 		}
 		fleet.nodes[i].set_senders(known_senders{ half, half.size() }, at_ms(LONG_BEFORE_MS));
 	}
-	press_on_one(fleet, 2900);
-	EXPECT_LE(static_cast<double>(fleet.get_most_in_a_second()), MOST_IN_A_SECOND);
+	load_one_endpoint(fleet, 2900);
+	EXPECT_LE(static_cast<double>(fleet.get_max_in_a_second()), MAX_IN_A_SECOND);
 }
 
 TEST(endpoint_limits, nodes_that_join_and_are_known_to_others_only_later_keep_the_bound) {
@@ -181,19 +181,22 @@
 	for (int ms = 0; ms < 2900; ms++) {
 		const std::size_t joined = std::min(ALL, FIRST + static_cast<std::size_t>(ms / JOIN_MS));
 		const std::size_t node = static_cast<std::size_t>(fleet.random.get_unit() * static_cast<double>(joined));
-		// Each node hears of the newcomers about each 0.3 s.
-		const bool is_newcomer = node + 1 == joined && ms % JOIN_MS == 0;
-		if (ms % 10 == 0 || is_newcomer) {
+		// Each node receives the list with the new nodes about every 0.3 s.
+		const bool has_just_joined = node + 1 == joined && ms % JOIN_MS == 0;
+		if (ms % 10 == 0 || has_just_joined) {
 			const std::vector<std::string> known(fleet.names.begin(), fleet.names.begin() + static_cast<std::ptrdiff_t>(joined));
 			fleet.nodes[node].set_senders(known_senders{ known, known.size() }, at_ms(ms));
 		}
 		fleet.send(node, { 0 }, at_ms(ms));
 	}
-	EXPECT_LE(static_cast<double>(fleet.get_most_in_a_second()), MOST_IN_A_SECOND);
+	EXPECT_LE(static_cast<double>(fleet.get_max_in_a_second()), MAX_IN_A_SECOND);
 }
 
-/** Nodes 0 to 29 of one zone, the later half of which become known to others one each 100 ms, to each node a third of a second late or more. */
-struct widening_views {
+/**
+ * Nodes 0 to 29 of one zone. The second half becomes known to the others at one node every 100 ms, and to each node a third of a
+ * second late or more.
+ */
+struct growing_views {
 	static constexpr std::size_t FIRST = 15;
 	static constexpr std::size_t ALL = 30;
 	static constexpr int JOIN_MS = 100;
@@ -204,61 +207,62 @@
 	}
 };
 
-// All of them send from the beginning, also those that no list names yet, their own included.
+// All nodes send from the start, also those that are in no list yet, not even their own.
 TEST(endpoint_limits, nodes_whose_lists_lack_many_that_send_keep_the_bound) {
-	cold_fleet fleet(widening_views::ALL, 1, 3, limit_sharing::RANKS);
+	cold_fleet fleet(growing_views::ALL, 1, 3, limit_sharing::RANKS);
 	std::size_t served = 0;
 	for (int ms = 0; ms < 2900; ms++) {
-		const std::size_t node = static_cast<std::size_t>(fleet.random.get_unit() * static_cast<double>(widening_views::ALL));
+		const std::size_t node = static_cast<std::size_t>(fleet.random.get_unit() * static_cast<double>(growing_views::ALL));
 		if (ms % 10 == 0) {
-			const std::vector<std::string> known = widening_views::get_known(fleet, ms);
+			const std::vector<std::string> known = growing_views::get_known(fleet, ms);
 			fleet.nodes[node].set_senders(known_senders{ known, known.size() }, at_ms(ms));
 		}
 		served += fleet.send(node, { 0 }, at_ms(ms)) ? 1 : 0;
 	}
-	EXPECT_LE(static_cast<double>(fleet.get_most_in_a_second()), MOST_IN_A_SECOND);
-	EXPECT_GE(served, 5U) << "what it bears in half a second at least";
+	EXPECT_LE(static_cast<double>(fleet.get_max_in_a_second()), MAX_IN_A_SECOND);
+	EXPECT_GE(served, 5U) << "at least what it supports in half a second";
 }
 
-// The first half has sent for long when the others start at one moment, each of which knows the first half and itself.
+// The first half has been sending for long when the others start simultaneously; each of them knows only the first half and itself.
 TEST(endpoint_limits, nodes_that_start_at_one_moment_and_do_not_know_each_other_keep_the_bound) {
-	cold_fleet fleet(widening_views::ALL, 1, 3, limit_sharing::RANKS);
-	const std::vector<std::string> first = widening_views::get_known(fleet, 0);
-	for (std::size_t node = 0; node < widening_views::FIRST; node++) {
+	cold_fleet fleet(growing_views::ALL, 1, 3, limit_sharing::RANKS);
+	const std::vector<std::string> first = growing_views::get_known(fleet, 0);
+	for (std::size_t node = 0; node < growing_views::FIRST; node++) {
 		fleet.nodes[node].set_senders(known_senders{ first, first.size() }, at_ms(LONG_BEFORE_MS));
 	}
 	for (int ms = 0; ms < 2900; ms++) {
-		const std::size_t node = static_cast<std::size_t>(fleet.random.get_unit() * static_cast<double>(widening_views::ALL));
+		const std::size_t node = static_cast<std::size_t>(fleet.random.get_unit() * static_cast<double>(growing_views::ALL));
 		std::vector<std::string> known = ms < 400 ? first : fleet.names;
-		if (node >= widening_views::FIRST && ms < 400) {
+		if (node >= growing_views::FIRST && ms < 400) {
 			known.push_back(fleet.names[node]);
 		}
 		fleet.nodes[node].set_senders(known_senders{ known, known.size() }, at_ms(ms));
 		fleet.send(node, { 0 }, at_ms(ms));
 	}
-	EXPECT_LE(static_cast<double>(fleet.get_most_in_a_second()), COLD_RATE);
+	EXPECT_LE(static_cast<double>(fleet.get_max_in_a_second()), COLD_RATE);
 }
 
-// A node that others took the place of a moment ago has sent there; the one that has it now waits until that is over.
+// The previous holder of a slot may have sent a request a moment ago. The new holder must wait until that request no longer
+// counts, or the endpoint would get both within one span.
 TEST(endpoint_limits, a_place_that_came_free_is_taken_when_what_was_sent_from_it_counts_no_more) {
 	cold_fleet fleet(12, 1, 1, limit_sharing::RANKS);
-	fleet.tell_all();
+	fleet.set_all_senders();
 	const endpoint_identity identity = fleet.endpoints[0].get_identity();
 	const auto may_send = [&fleet, &identity](std::size_t p_node, int p_ms) { return fleet.nodes[p_node].may_send(identity, sender_part::SHARE, at_ms(p_ms)); };
-	std::vector<std::size_t> without;
+	std::vector<std::size_t> without_slot;
 	for (std::size_t node = 0; node < fleet.nodes.size(); node++) {
 		if (!may_send(node, 0)) {
-			without.push_back(node);
+			without_slot.push_back(node);
 		}
 	}
-	ASSERT_EQ(without.size(), 3U) << "nine have a place each";
-	for (const std::size_t node : without) {
+	ASSERT_EQ(without_slot.size(), 3U) << "nine nodes have a slot each";
+	for (const std::size_t node : without_slot) {
 		fleet.nodes[node].set_senders(known_senders{ { fleet.names[node] }, 1 }, at_ms(100));
 		EXPECT_FALSE(may_send(node, 100));
 		EXPECT_FALSE(may_send(node, 1100));
 		EXPECT_TRUE(may_send(node, 1700));
 		fleet.nodes[node].set_senders(known_senders{ fleet.names, fleet.names.size() }, at_ms(1800));
-		EXPECT_FALSE(may_send(node, 1800)) << "a place that is lost is lost at once";
+		EXPECT_FALSE(may_send(node, 1800)) << "a lost slot must not be used from then on";
 	}
 }
 
@@ -271,7 +275,7 @@
 		EXPECT_FALSE(node.may_send(cold.get_identity(), sender_part::SHARE, at_ms(ms)));
 	}
 	node.set_senders(known_senders{ { "n" }, 1, true }, at_ms(2000));
-	EXPECT_TRUE(node.may_send(cold.get_identity(), sender_part::SHARE, at_ms(2000))) << "it has been known to others since it started";
+	EXPECT_TRUE(node.may_send(cold.get_identity(), sender_part::SHARE, at_ms(2000))) << "the others have known it since it started";
 }
 
 TEST(endpoint_limits, a_node_that_knows_nobody_yet_sends_nothing_to_a_cold_endpoint_and_anything_to_a_warm_one) {
@@ -295,7 +299,7 @@
 	node.set_listings({ cold }, configuration, at_ms(2500));
 	EXPECT_TRUE(node.may_send(cold.get_identity(), sender_part::SHARE, at_ms(1000)));
 	EXPECT_EQ(node.get_cold_count(at_ms(2999)), 1U);
-	EXPECT_EQ(node.get_cold_count(at_ms(3000)), 0U) << "the same entry read again does not make it cold anew";
+	EXPECT_EQ(node.get_cold_count(at_ms(3000)), 0U) << "the same entry read again does not restart its cold time";
 	const endpoint_listing again = make_endpoint(0, "z0", std::chrono::seconds(2));
 	node.set_listings({ again }, configuration, at_ms(5000));
 	EXPECT_EQ(node.get_cold_count(at_ms(6999)), 1U);
@@ -328,8 +332,8 @@
 
 TEST(endpoint_limits, less_than_one_request_a_second_is_shared_too) {
 	cold_fleet fleet(9, 3, 3, limit_sharing::RANKS, 0.4);
-	fleet.tell_all();
-	EXPECT_EQ(press_on_one(fleet, 2900), 2U) << "one at once, and one when 2.5 s are over";
+	fleet.set_all_senders();
+	EXPECT_EQ(load_one_endpoint(fleet, 2900), 2U) << "one immediately and one after 2.5 s";
 }
 
 TEST(endpoint_limits, the_dispatcher_of_a_pool_has_all_that_a_cold_replica_bears) {
@@ -346,12 +350,12 @@
 	EXPECT_EQ(sent, 9);
 }
 
-// The other way that was built: no bound by construction, and in the seconds that an endpoint is cold most nodes never send.
+// limit_sharing::EVEN has no bound by construction, only on average; most nodes never send while an endpoint is cold.
 TEST(endpoint_limits, even_shares_keep_the_bound_by_their_mean_only) {
 	cold_fleet fleet(89, 3, 3, limit_sharing::EVEN);
-	fleet.tell_all();
-	const std::size_t served = press_on_one(fleet, 2900);
-	EXPECT_LE(static_cast<double>(fleet.get_most_in_a_second()), MOST_IN_A_SECOND);
+	fleet.set_all_senders();
+	const std::size_t served = load_one_endpoint(fleet, 2900);
+	EXPECT_LE(static_cast<double>(fleet.get_max_in_a_second()), MAX_IN_A_SECOND);
 	EXPECT_GE(served, 15U);
 }
 
--- a/tests/servers/gateway/endpoint_reading_test.cpp
+++ b/tests/servers/gateway/endpoint_reading_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: endpoint_reading_test.cpp
- * What one node reads of the endpoints' log and tells the others.
+ * Changes that one node reads from the endpoints' log and sends to the others.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -25,12 +25,12 @@
 
 } // namespace
 
-/** Nodes that are told what one of them reads know what they would have read themselves, however the log is cut into reads. */
+/** Nodes that apply the changes read by another node have the same list as if they had read the log, however it is split into reads. */
 RC_GTEST_PROP(endpoint_directory, told_readings_say_what_the_log_says, ()) {
 	choice_source choices(120);
 	endpoint_directory reader;
-	endpoint_directory told;
-	endpoint_directory alone;
+	endpoint_directory follower;
+	endpoint_directory direct_reader;
 	std::uint64_t offset = 0;
 	int now = 0;
 	while (!choices.is_empty()) {
@@ -42,29 +42,29 @@
 			if (!choices.one_in(3)) {
 				record.listing = endpoint_listing();
 				record.listing->vm = name;
-				record.listing->incarnation = choices.pick(4); // 0 is one that is not told.
+				record.listing->incarnation = choices.pick(4); // 0 means that it isn't reported.
 				record.listing->pool = choices.pick(2) == 0 ? "llm" : "encode";
 				record.listing->leaving = choices.one_in(4);
 			}
 			records.push_back(record);
 		}
-		for (endpoint_directory *directory : { &reader, &told, &alone }) {
+		for (endpoint_directory *directory : { &reader, &follower, &direct_reader }) {
 			directory->on_read(at(milliseconds(now)));
 		}
-		const endpoint_reading reading = reader.take_records(records, offset, offset + records.size(), at(milliseconds(now)));
-		offset = reading.to;
-		told.take_reading(reading, at(milliseconds(now)));
+		const endpoint_reading delta = reader.take_records(records, offset, offset + records.size(), at(milliseconds(now)));
+		offset = delta.to;
+		follower.take_reading(delta, at(milliseconds(now)));
 		for (const endpoint_record &record : records) {
 			if (record.listing) {
-				alone.put(*record.listing);
+				direct_reader.put(*record.listing);
 			} else {
-				alone.drop(record.name, at(milliseconds(now)));
+				direct_reader.drop(record.name, at(milliseconds(now)));
 			}
 		}
-		RC_ASSERT(told.get_listings() == alone.get_listings());
-		RC_ASSERT(reader.get_listings() == alone.get_listings());
-		RC_ASSERT(told.get_listed() == reading.listed);
-		RC_ASSERT(told.is_like(reading));
+		RC_ASSERT(follower.get_listings() == direct_reader.get_listings());
+		RC_ASSERT(reader.get_listings() == direct_reader.get_listings());
+		RC_ASSERT(follower.get_listed() == delta.listed);
+		RC_ASSERT(follower.is_like(delta));
 	}
 }
 
--- a/tests/servers/gateway/endpoint_record_filter_test.cpp
+++ b/tests/servers/gateway/endpoint_record_filter_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: endpoint_record_filter_test.cpp
- * Records of other writers beside, and over, the entries of endpoints.
+ * Records of other writers between the entries of endpoints, and records that overwrite entries.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -31,24 +31,24 @@
 	listing.vm = p_name;
 	listing.pool = "llm";
 	listing.incarnation = p_start;
-	// Each has an address of its own, as one that starts at the address of another ends it.
+	// Each endpoint has its own address, because one that starts at the address of another supersedes it.
 	listing.address = network_address{ "10.0.0.1", static_cast<std::uint16_t>(1 + hash_bytes(p_name) % 60000) };
 	return listing;
 }
 
-read_endpoint_record sound(const std::string &p_name, std::uint64_t p_start = 7) {
+read_endpoint_record make_valid(const std::string &p_name, std::uint64_t p_start = 7) {
 	return read_endpoint_record{ p_name, make_listing(p_name, p_start) };
 }
 
-read_endpoint_record spoilt(const std::string &p_name, entry_fault p_fault = entry_fault::UNREADABLE) {
+read_endpoint_record make_faulty(const std::string &p_name, entry_fault p_fault = entry_fault::UNREADABLE) {
 	return read_endpoint_record{ p_name, p_fault };
 }
 
-read_endpoint_record gone(const std::string &p_name) {
+read_endpoint_record make_removal(const std::string &p_name) {
 	return read_endpoint_record{ p_name, std::nullopt };
 }
 
-/** A filter and the directory that takes what it lets through. */
+/** A filter and the directory that applies the records it returns. */
 struct filtered_directory {
 	endpoint_record_filter filter;
 	endpoint_directory directory;
@@ -73,7 +73,7 @@
 
 TEST(endpoint_record_filter, spoilt_records_hold_no_other_back) {
 	filtered_directory list;
-	list.take({ spoilt("x"), sound("a"), spoilt(""), gone("y"), sound("b") }, 0);
+	list.take({ make_faulty("x"), make_valid("a"), make_faulty(""), make_removal("y"), make_valid("b") }, 0);
 	EXPECT_TRUE(list.contains("a"));
 	EXPECT_TRUE(list.contains("b"));
 	EXPECT_EQ(list.directory.get_size(), 2U);
@@ -83,61 +83,61 @@
 
 TEST(endpoint_record_filter, an_endpoint_whose_entry_is_spoilt_stays_while_it_may_write_it_again) {
 	filtered_directory list;
-	list.take({ sound("a"), sound("b"), spoilt("b"), spoilt("a") }, 0);
-	list.take({ sound("a") }, 700);
+	list.take({ make_valid("a"), make_valid("b"), make_faulty("b"), make_faulty("a") }, 0);
+	list.take({ make_valid("a") }, 700);
 	EXPECT_TRUE(list.contains("b"));
 	list.take({}, 800);
-	EXPECT_FALSE(list.contains("b")) << "its entry names no endpoint, and it did not write another";
+	EXPECT_FALSE(list.contains("b")) << "its entry is faulty, and it did not write another one";
 	list.take({}, 2000);
 	EXPECT_TRUE(list.contains("a")) << "it wrote its entry again";
-	list.take({ spoilt("a"), gone("a") }, 3000);
-	EXPECT_FALSE(list.contains("a")) << "an entry that went is not held";
+	list.take({ make_faulty("a"), make_removal("a") }, 3000);
+	EXPECT_FALSE(list.contains("a")) << "an endpoint whose entry was removed is not kept";
 }
 
 TEST(endpoint_record_filter, a_spoilt_record_that_is_repeated_does_not_prolong_the_hold) {
 	filtered_directory list;
-	list.take({ sound("a") }, 0);
+	list.take({ make_valid("a") }, 0);
 	for (int ms = 1000; ms < 1800; ms += 200) {
-		list.take({ spoilt("a") }, ms);
+		list.take({ make_faulty("a") }, ms);
 		EXPECT_TRUE(list.contains("a")) << ms;
 	}
-	list.take({ spoilt("a") }, 1800);
+	list.take({ make_faulty("a") }, 1800);
 	EXPECT_FALSE(list.contains("a"));
 }
 
 TEST(endpoint_record_filter, an_entry_that_is_sound_again_ends_the_hold_however_late_it_is_read) {
 	filtered_directory list;
-	list.take({ sound("a"), spoilt("a") }, 0);
-	list.take({ sound("a") }, 2500);
+	list.take({ make_valid("a"), make_faulty("a") }, 0);
+	list.take({ make_valid("a") }, 2500);
 	list.take({}, 3500);
 	EXPECT_TRUE(list.contains("a"));
 }
 
 TEST(endpoint_record_filter, what_a_peer_told_of_an_endpoint_ends_its_hold_and_no_other) {
 	filtered_directory list;
-	list.take({ sound("a"), spoilt("a"), sound("b"), spoilt("b") }, 0);
-	endpoint_reading told;
-	told.written = { make_listing("a") };
-	list.filter.on_told(told);
-	list.take_whole({ sound("a"), spoilt("b") }, 1000);
+	list.take({ make_valid("a"), make_faulty("a"), make_valid("b"), make_faulty("b") }, 0);
+	endpoint_reading delta;
+	delta.written = { make_listing("a") };
+	list.filter.on_told(delta);
+	list.take_whole({ make_valid("a"), make_faulty("b") }, 1000);
 	EXPECT_TRUE(list.contains("a"));
-	EXPECT_FALSE(list.contains("b")) << "its time went on while a peer read for this node";
+	EXPECT_FALSE(list.contains("b")) << "its HOLD continued while a peer read for this node";
 }
 
 TEST(endpoint_record_filter, a_state_that_is_not_known_takes_an_endpoint_out_at_once) {
 	filtered_directory list;
-	list.take({ sound("a") }, 0);
-	list.take({ spoilt("a", entry_fault::UNKNOWN_STATE) }, 100);
+	list.take({ make_valid("a") }, 0);
+	list.take({ make_faulty("a", entry_fault::UNKNOWN_STATE) }, 100);
 	EXPECT_FALSE(list.contains("a"));
 }
 
 TEST(endpoint_record_filter, a_whole_reading_holds_as_the_records_do) {
 	filtered_directory list;
-	list.take({ sound("a"), sound("b"), sound("c") }, 0);
-	list.take_whole({ spoilt("a"), sound("b"), spoilt("c", entry_fault::UNKNOWN_STATE), spoilt("new") }, 1000);
+	list.take({ make_valid("a"), make_valid("b"), make_valid("c") }, 0);
+	list.take_whole({ make_faulty("a"), make_valid("b"), make_faulty("c", entry_fault::UNKNOWN_STATE), make_faulty("new") }, 1000);
 	EXPECT_TRUE(list.contains("a"));
 	EXPECT_EQ(list.directory.get_size(), 2U);
-	list.take_whole({ spoilt("a"), sound("b") }, 1700);
+	list.take_whole({ make_faulty("a"), make_valid("b") }, 1700);
 	EXPECT_TRUE(list.contains("a"));
 	list.take({}, 1800);
 	EXPECT_FALSE(list.contains("a"));
@@ -145,21 +145,21 @@
 }
 
 TEST(endpoint_record_filter, an_entry_without_its_start_is_used_only_where_most_tell_none) {
-	filtered_directory told;
-	told.take_whole({ sound("a"), sound("b"), sound("x", 0) }, 0);
-	told.take({ sound("y", 0) }, 100);
-	EXPECT_FALSE(told.contains("x"));
-	EXPECT_FALSE(told.contains("y"));
-	EXPECT_EQ(told.filter.take_rejected().back().fault, entry_fault::MISSING_START);
-	filtered_directory untold;
-	untold.take_whole({ sound("a", 0), sound("b", 0), sound("x") }, 0);
-	untold.take({ sound("c", 0), sound("y") }, 100);
-	EXPECT_EQ(untold.directory.get_size(), 5U) << "one record of another writer must not shut all others out";
+	filtered_directory with_starts;
+	with_starts.take_whole({ make_valid("a"), make_valid("b"), make_valid("x", 0) }, 0);
+	with_starts.take({ make_valid("y", 0) }, 100);
+	EXPECT_FALSE(with_starts.contains("x"));
+	EXPECT_FALSE(with_starts.contains("y"));
+	EXPECT_EQ(with_starts.filter.take_rejected().back().fault, entry_fault::MISSING_START);
+	filtered_directory without_starts;
+	without_starts.take_whole({ make_valid("a", 0), make_valid("b", 0), make_valid("x") }, 0);
+	without_starts.take({ make_valid("c", 0), make_valid("y") }, 100);
+	EXPECT_EQ(without_starts.directory.get_size(), 5U) << "one record of another writer must not exclude all others";
 }
 
 RC_GTEST_PROP(endpoint_record_filter_properties, what_is_sound_is_in_use_whatever_lies_between, ()) {
 	filtered_directory list;
-	std::map<std::string, bool> is_sound; // By name, by its newest record.
+	std::map<std::string, bool> is_valid; // By name, by its newest record.
 	int now = 0;
 	const int answers = *rc::gen::inRange(1, 12);
 	for (int i = 0; i < answers; i++) {
@@ -168,18 +168,18 @@
 		for (int k = 0; k < count; k++) {
 			const std::string name(1, *rc::gen::inRange('a', 'e'));
 			const int kind = *rc::gen::inRange(0, 4);
-			records.push_back(kind == 0 ? gone(name) : (kind == 1 ? spoilt(name, *rc::gen::element(entry_fault::UNREADABLE, entry_fault::UNKNOWN_STATE)) : sound(name)));
-			is_sound[name] = kind > 1;
+			records.push_back(kind == 0 ? make_removal(name) : (kind == 1 ? make_faulty(name, *rc::gen::element(entry_fault::UNREADABLE, entry_fault::UNKNOWN_STATE)) : make_valid(name)));
+			is_valid[name] = kind > 1;
 		}
 		now += *rc::gen::inRange(0, 900);
 		list.take(records, now);
-		for (const auto &[name, sound_now] : is_sound) {
-			RC_ASSERT(!sound_now || list.contains(name));
+		for (const auto &[name, valid_now] : is_valid) {
+			RC_ASSERT(!valid_now || list.contains(name));
 		}
 	}
 	list.take({}, now + 2000);
-	for (const auto &[name, sound_now] : is_sound) {
-		RC_ASSERT(sound_now == list.contains(name));
+	for (const auto &[name, valid_now] : is_valid) {
+		RC_ASSERT(valid_now == list.contains(name));
 	}
 }
 
--- a/tests/servers/gateway/endpoint_restart_test.cpp
+++ b/tests/servers/gateway/endpoint_restart_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: endpoint_restart_test.cpp
- * Endpoints that start again under their name: the directory, what nodes tell each other, and what engines have read.
+ * Endpoints that restart under the same name: the directory, reports of other nodes, and the prompt caches of engines.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -65,23 +65,23 @@
 
 TEST(endpoint_directory_restart, an_entry_that_went_lets_an_earlier_start_follow) {
 	endpoint_directory directory;
-	endpoint_directory told;
-	for (endpoint_directory *each : { &directory, &told }) {
+	endpoint_directory follower;
+	for (endpoint_directory *each : { &directory, &follower }) {
 		each->on_read(at(0));
 		each->put(make_start(2));
 	}
-	// A clock that was set back.
+	// The clock of the endpoint was set back.
 	const endpoint_reading reading = directory.take_records({ endpoint_record{ "e", std::nullopt }, endpoint_record{ "e", make_start(1) } }, 0, 2, at(10));
-	told.take_reading(reading, at(10));
+	follower.take_reading(reading, at(10));
 	EXPECT_EQ(directory.get_listings(), listings{ make_start(1) });
-	EXPECT_EQ(told.get_listings(), listings{ make_start(1) });
+	EXPECT_EQ(follower.get_listings(), listings{ make_start(1) });
 }
 
 TEST(endpoint_directory_restart, late_news_of_an_earlier_start_changes_nothing) {
 	endpoint_directory directory;
 	directory.put(make_start(2));
 	EXPECT_FALSE(directory.mark_leaving({ "e", 1 }));
-	EXPECT_FALSE(directory.mark_gone({ "e", 1 }, at(0))) << "though this node reads nothing by itself";
+	EXPECT_FALSE(directory.mark_gone({ "e", 1 }, at(0))) << "even though this node reads nothing itself";
 	EXPECT_EQ(directory.get_listings(), listings{ make_start(2) });
 	EXPECT_TRUE(directory.take_news().empty());
 }
@@ -90,7 +90,7 @@
 	endpoint_directory directory;
 	directory.on_read(at(0));
 	directory.put(make_start(1));
-	EXPECT_FALSE(directory.mark_gone({ "e", 1 }, at(10))) << "this node reads by itself";
+	EXPECT_FALSE(directory.mark_gone({ "e", 1 }, at(10))) << "this node reads the log itself";
 	directory.put(make_start(2));
 	EXPECT_TRUE(directory.drop_told(at(5000)).empty());
 	EXPECT_TRUE(directory.contains_start({ "e", 2 }));
@@ -125,7 +125,7 @@
 	const endpoint_reading reading = one.take_records({}, 0, 0, at(0));
 	EXPECT_TRUE(one.is_like(reading));
 	EXPECT_FALSE(other.is_like(reading));
-	EXPECT_NE(endpoint_directory().get_listed_starts(), 0U) << "that is a reader which knows no starts";
+	EXPECT_NE(endpoint_directory().get_listed_starts(), 0U) << "0 stands for a reader that does not support incarnations";
 }
 
 TEST(endpoint_directory_restart, an_entry_kept_over_an_outage_is_replaced_by_a_later_start) {
@@ -150,13 +150,13 @@
 	for (int i = 0; i < 8; i++) {
 		view.on_first_event(earlier, view.predict(earlier, prompt, at(i)), seconds(2), at(i));
 	}
-	const duration usual = view.predict({ "other", 1 }, prompt, at(10)).reading;
+	const duration typical = view.predict({ "other", 1 }, prompt, at(10)).reading;
 	EXPECT_EQ(view.predict(earlier, prompt, at(10)).unread_shared, 0U);
 	view.set_start(later);
-	const engine_prediction anew = view.predict(later, prompt, at(10));
-	EXPECT_EQ(anew.unread_shared, 8000U);
-	EXPECT_EQ(anew.wait, duration::zero());
-	EXPECT_EQ(anew.reading, usual);
+	const engine_prediction after_restart = view.predict(later, prompt, at(10));
+	EXPECT_EQ(after_restart.unread_shared, 8000U);
+	EXPECT_EQ(after_restart.wait, duration::zero());
+	EXPECT_EQ(after_restart.reading, typical);
 }
 
 TEST(engine_view_restart, what_is_told_late_of_the_earlier_start_is_ignored) {
@@ -168,7 +168,7 @@
 	const engine_prediction predicted = view.predict(later, prompt, at(0));
 	view.on_sent(earlier, prompt, at(0));
 	view.on_first_event(earlier, predicted, seconds(9), at(0));
-	EXPECT_EQ(view.predict(earlier, prompt, at(10)).unread_shared, 8000U) << "nothing is kept of it";
+	EXPECT_EQ(view.predict(earlier, prompt, at(10)).unread_shared, 8000U) << "nothing is stored about the earlier start";
 	EXPECT_EQ(view.predict(later, prompt, at(10)).unread_shared, 8000U);
 	EXPECT_EQ(view.predict(later, prompt, at(10)).reading, predicted.reading);
 	view.set_start(earlier);
--- a/tests/servers/gateway/endpoint_rests_test.cpp
+++ b/tests/servers/gateway/endpoint_rests_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: endpoint_rests_test.cpp
- * Endpoints that ask for rest, and when requests may be sent beside them.
+ * Endpoints that request a back-off, and when requests may be sent to them and to others.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -34,7 +34,7 @@
 	EXPECT_FALSE(limits.may_send(FIRST, sender_part::WHOLE, at_ms(2999)));
 	EXPECT_TRUE(limits.may_send(FIRST, sender_part::SHARE, at_ms(3000)));
 	EXPECT_TRUE(limits.may_send(SECOND, sender_part::SHARE, at_ms(0)));
-	EXPECT_TRUE(limits.may_send(endpoint_identity{ FIRST.vm, FIRST.incarnation + 1 }, sender_part::SHARE, at_ms(0))) << "a later start asked for nothing";
+	EXPECT_TRUE(limits.may_send(endpoint_identity{ FIRST.vm, FIRST.incarnation + 1 }, sender_part::SHARE, at_ms(0))) << "a later start has not requested a back-off";
 	EXPECT_EQ(limits.get_held_back(), 2U);
 	limits.forget_old(at_ms(3000));
 	EXPECT_EQ(limits.get_rests().count(), 0U);
--- a/tests/servers/gateway/evacuation_table_test.cpp
+++ b/tests/servers/gateway/evacuation_table_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: evacuation_table_test.cpp
- * Which zones are evacuated, whatever order the news of it comes in.
+ * Evacuated zones, with reads and reports of other nodes in any order.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -23,7 +23,7 @@
 
 constexpr int KEPT_SECONDS = std::chrono::duration_cast<std::chrono::seconds>(evacuation_table::KEPT_AFTER_ERA).count();
 
-/** One operator's log and what it says after each of its records. */
+/** An operator's log, with the evacuated zones after each of its records. */
 class operator_log {
 	std::vector<evacuation_record> _records;
 
@@ -70,7 +70,7 @@
 	ASSERT_EQ(table.take_changes().size(), 1U);
 	EXPECT_TRUE(table.take_changes().empty());
 	table.take_records({ { "a", false, 3 }, { "a", true, 4 } }, 0);
-	EXPECT_TRUE(table.take_changes().empty()) << "taken back and evacuated again within one reading is no change";
+	EXPECT_TRUE(table.take_changes().empty()) << "an evacuation that ends and starts again within one read is no change";
 	table.take_records({ { "a", false, 5 } }, 0);
 	const std::vector<evacuation_change> changes = table.take_changes();
 	ASSERT_EQ(changes.size(), 1U);
@@ -82,7 +82,7 @@
 	table.take_whole({ "a" }, { 0, 10 }, at(0));
 	EXPECT_FALSE(table.take_told({ { 0, 9 }, {} }, at(1)));
 	EXPECT_FALSE(table.take_told({ { 0, 10 }, {} }, at(1)));
-	EXPECT_FALSE(table.take_told({ log_position(), {} }, at(1))) << "a peer that knows nothing yet";
+	EXPECT_FALSE(table.take_told({ log_position(), {} }, at(1))) << "a peer that has not read anything yet";
 	EXPECT_EQ(table.get_zones(), (zones{ "a" }));
 	EXPECT_TRUE(table.take_told({ { 0, 11 }, {} }, at(1)));
 	EXPECT_FALSE(table.take_told({ { 0, 4 }, { "a" } }, at(2)));
@@ -111,7 +111,7 @@
 	table.take_whole({ "a", "b" }, { 4, 50 }, at(0));
 	table.take_whole({ "b" }, { 5, 40 }, at(1));
 	EXPECT_EQ(table.get_zones(), (zones{ "a", "b" }));
-	EXPECT_EQ(table.get_state().zones, (std::vector<std::string>{ "b" })) << "peers keep what they knew themselves";
+	EXPECT_EQ(table.get_state().zones, (std::vector<std::string>{ "b" })) << "peers keep the evacuations that they knew themselves";
 	ASSERT_TRUE(table.get_next_end());
 	table.tick(at(KEPT_SECONDS));
 	EXPECT_EQ(table.get_zones(), (zones{ "a", "b" }));
@@ -149,15 +149,15 @@
 	table.take_whole({}, { 5, 40 }, at(1));
 	table.take_whole({}, { 6, 30 }, at(3));
 	table.tick(at(1 + KEPT_SECONDS));
-	EXPECT_TRUE(table.get_zones().empty()) << "a second copy does not keep it for longer";
+	EXPECT_TRUE(table.get_zones().empty()) << "a second restore does not prolong it";
 }
 
-// Nodes read in parts or as a whole, are told by each other, early and late, and in any order.
+// Nodes read records or snapshots and apply states of each other, early or late and in any order.
 RC_GTEST_PROP(evacuation_table_properties, nodes_that_know_the_same_position_know_the_same_and_never_go_back, ()) {
 	operator_log log;
 	std::vector<evacuation_table> nodes(4);
 	std::vector<std::size_t> read_up_to(nodes.size(), 0);
-	std::vector<evacuation_state> told;
+	std::vector<evacuation_state> published_states;
 	std::vector<bool> is_loaded(nodes.size(), false);
 	const int steps = *rc::gen::inRange(1, 60);
 	for (int step = 0; step < steps; step++) {
@@ -178,15 +178,15 @@
 				}
 				break;
 			default:
-				if (!told.empty()) {
-					nodes[node].take_told(*rc::gen::elementOf(told), at(step));
+				if (!published_states.empty()) {
+					nodes[node].take_told(*rc::gen::elementOf(published_states), at(step));
 				}
 				break;
 		}
-		told.push_back(nodes[node].get_state());
+		published_states.push_back(nodes[node].get_state());
 		const std::size_t known = nodes[node].get_state().known.offset;
 		RC_ASSERT(known <= log.get_end());
-		// A position is that of the last record that mattered, or of a whole reading: the state is that of the log there.
+		// The position is that of the last applied record or of a snapshot; the zones are those of the log at this position.
 		RC_ASSERT(nodes[node].get_zones() == log.get_zones(known));
 	}
 }
--- a/tests/servers/gateway/event_splitter_test.cpp
+++ b/tests/servers/gateway/event_splitter_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: event_splitter_test.cpp
- * Where events of a stream end, whatever the line ends and the reads.
+ * Ends of the events of a stream, with any line ends and any split into reads.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -17,16 +17,16 @@
 
 const std::string BYTE_ORDER_MARK = "\xEF\xBB\xBF";
 
-/** What the standard of event streams makes of bytes that came at once. */
-struct expected_reading {
-	std::size_t whole = 0; ///< Bytes up to the last empty line, its end included.
+/** Result of parsing the bytes of a whole stream as the event stream standard defines it. */
+struct expected_result {
+	std::size_t complete_bytes = 0; ///< Bytes up to and including the last empty line.
 	std::size_t events = 0;
 	std::string last_id;
 	bool is_inside = false;
 };
 
-expected_reading read(const std::string &p_stream) {
-	expected_reading reading;
+expected_result read(const std::string &p_stream) {
+	expected_result result;
 	std::string id;
 	bool has_field = false;
 	std::size_t start = p_stream.starts_with(BYTE_ORDER_MARK) ? BYTE_ORDER_MARK.size() : 0;
@@ -37,14 +37,14 @@
 		}
 		const std::string line = p_stream.substr(start, end - start);
 		if (end == p_stream.size()) {
-			reading.is_inside = has_field || !line.empty();
-			return reading;
+			result.is_inside = has_field || !line.empty();
+			return result;
 		}
 		start = end + (p_stream.substr(end, 2) == "\r\n" ? 2 : 1);
 		if (line.empty()) {
-			reading.whole = start;
-			reading.events += has_field ? 1 : 0;
-			reading.last_id = id;
+			result.complete_bytes = start;
+			result.events += has_field ? 1 : 0;
+			result.last_id = id;
 			has_field = false;
 			continue;
 		}
@@ -68,18 +68,18 @@
 	for (int i = 0; i < lines; i++) {
 		stream += make_line();
 	}
-	// Cut anywhere, but not inside a mark, which is then no text.
-	const std::size_t least = stream.starts_with(BYTE_ORDER_MARK) ? BYTE_ORDER_MARK.size() : 0;
-	stream.resize(*rc::gen::inRange<std::size_t>(least, stream.size() + 1));
+	// Truncated anywhere except inside a byte order mark, part of which would not be valid text.
+	const std::size_t min_size = stream.starts_with(BYTE_ORDER_MARK) ? BYTE_ORDER_MARK.size() : 0;
+	stream.resize(*rc::gen::inRange<std::size_t>(min_size, stream.size() + 1));
 	event_splitter splitter;
 	std::string out;
-	for (std::size_t place = 0; place < stream.size();) {
+	for (std::size_t position = 0; position < stream.size();) {
 		const std::size_t step = *rc::gen::inRange<std::size_t>(1, 6);
-		out += splitter.take(std::string_view(stream).substr(place, step));
-		place += step;
+		out += splitter.take(std::string_view(stream).substr(position, step));
+		position += step;
 	}
-	const expected_reading expected = read(stream);
-	RC_ASSERT(out == stream.substr(0, expected.whole));
+	const expected_result expected = read(stream);
+	RC_ASSERT(out == stream.substr(0, expected.complete_bytes));
 	RC_ASSERT(splitter.is_inside_event() == expected.is_inside);
 	RC_ASSERT(splitter.get_last_id() == expected.last_id);
 	RC_ASSERT(splitter.get_event_count() == expected.events);
@@ -114,7 +114,7 @@
 	EXPECT_EQ(splitter.take(BYTE_ORDER_MARK + "id: 1\n\n"), BYTE_ORDER_MARK + "id: 1\n\n");
 }
 
-// Guards a node's memory against one endless event, and the stream against being taken up in the middle of it.
+// One endless event must not use up a node's memory, and a stream must not be resumed in the middle of an event.
 TEST(event_splitter, of_an_event_larger_than_what_is_held_the_beginning_goes_out) {
 	event_splitter splitter(100);
 	std::string out = splitter.take("id: 1\n\ndata: ");
--- a/tests/servers/gateway/gateway_state_test.cpp
+++ b/tests/servers/gateway/gateway_state_test.cpp
@@ -47,7 +47,7 @@
 	listing.vm = p_name;
 	listing.pool = "letters";
 	listing.zone = "a";
-	// Each has an address of its own, as one that starts at the address of another ends it.
+	// Each endpoint has its own address, because one that starts at the address of another supersedes it.
 	listing.address = network_address{ "10.0.0.1", static_cast<std::uint16_t>(1 + hash_bytes(p_name) % 60000) };
 	listing.leaving = p_leaving;
 	return listing;
@@ -140,18 +140,18 @@
 	for (int i = 0; i < count; i++) {
 		stream += "id: " + std::to_string(i) + "\ndata: " + *rc::gen::container<std::string>(rc::gen::inRange('a', 'z')) + (i % 2 == 0 ? "\n\n" : "\r\n\r\n");
 	}
-	const std::size_t kept = *rc::gen::inRange<std::size_t>(0, stream.size() + 1);
+	const std::size_t received_bytes = *rc::gen::inRange<std::size_t>(0, stream.size() + 1);
 	event_splitter splitter;
 	std::string out;
-	std::size_t place = 0;
-	while (place < kept) {
-		const std::size_t step = std::min<std::size_t>(kept - place, *rc::gen::inRange<std::size_t>(1, 9));
-		out += splitter.take(std::string_view(stream).substr(place, step));
-		place += step;
+	std::size_t position = 0;
+	while (position < received_bytes) {
+		const std::size_t step = std::min<std::size_t>(received_bytes - position, *rc::gen::inRange<std::size_t>(1, 9));
+		out += splitter.take(std::string_view(stream).substr(position, step));
+		position += step;
 	}
 	RC_ASSERT(stream.substr(0, out.size()) == out);
 	RC_ASSERT(out.empty() || out.ends_with("\n\n") || out.ends_with("\n\r\n"));
-	if (kept == stream.size()) {
+	if (received_bytes == stream.size()) {
 		RC_ASSERT(out == stream);
 		RC_ASSERT(splitter.get_last_id() == std::to_string(count - 1));
 	}
@@ -209,7 +209,7 @@
 	directory.put(make_endpoint("e1", true));
 	EXPECT_EQ(directory.take_news(), (std::vector<endpoint_identity>{ { "e1", 0 } }));
 	directory.put(make_endpoint("e1"));
-	EXPECT_TRUE(is_leaving(directory, "e1")) << "an older record read again does not bring it back";
+	EXPECT_TRUE(is_leaving(directory, "e1")) << "an older record that is read again does not undo it";
 	directory.drop("e1", at(milliseconds(10)));
 	directory.put(make_endpoint("e1"));
 	EXPECT_TRUE(is_leaving(directory, "e1"));
@@ -245,7 +245,7 @@
 	for (const char *name : { "back", "lost", "told_before" }) {
 		directory.put(make_endpoint(name));
 	}
-	EXPECT_TRUE(directory.mark_gone({ "told_before", 0 }, at(milliseconds(5900)))) << "this node's own reading is old";
+	EXPECT_TRUE(directory.mark_gone({ "told_before", 0 }, at(milliseconds(5900)))) << "this node's own last read is old";
 	directory.on_read(at(milliseconds(6000)));
 	directory.drop("back", at(milliseconds(6000)));
 	directory.drop("lost", at(milliseconds(6000)));
@@ -254,7 +254,7 @@
 	EXPECT_FALSE(directory.mark_gone({ "unknown", 0 }, at(milliseconds(6200))));
 	directory.put(make_endpoint("back"));
 	EXPECT_EQ(directory.get_drop_time(), std::nullopt);
-	EXPECT_FALSE(directory.mark_gone({ "back", 0 }, at(milliseconds(6300)))) << "its entry was read just now";
+	EXPECT_FALSE(directory.mark_gone({ "back", 0 }, at(milliseconds(6300)))) << "its entry has just been read";
 	EXPECT_TRUE(directory.drop_told(at(milliseconds(6400))).empty());
 	ASSERT_EQ(directory.get_size(), 1U);
 	EXPECT_EQ(directory.get_listings().front().vm, "back");
@@ -265,11 +265,11 @@
 	endpoint_directory directory;
 	directory.on_read(at(milliseconds(0)));
 	directory.put(make_endpoint("e"));
-	EXPECT_FALSE(directory.mark_gone({ "e", 0 }, at(milliseconds(100)))) << "this node reads by itself";
+	EXPECT_FALSE(directory.mark_gone({ "e", 0 }, at(milliseconds(100)))) << "this node reads the log itself";
 	EXPECT_TRUE(directory.drop_told(at(milliseconds(1400))).empty());
 	directory.on_read(at(milliseconds(1000)));
 	directory.on_read(at(milliseconds(2000)));
-	EXPECT_TRUE(directory.drop_told(at(milliseconds(6000))).empty()) << "two reads have shown that it is there";
+	EXPECT_TRUE(directory.drop_told(at(milliseconds(6000))).empty()) << "two reads have shown that the entry exists";
 	directory.on_read(at(milliseconds(6100)));
 	EXPECT_FALSE(directory.mark_gone({ "e", 0 }, at(milliseconds(6200))));
 	EXPECT_EQ(directory.drop_told(at(milliseconds(7700))), (std::vector<endpoint_identity>{ { "e", 0 } }));
@@ -331,7 +331,7 @@
 	table.add("search", 1, seconds(2));
 	EXPECT_EQ(table.predict_stages(configuration, configuration.routes[0], { 5, 5 }, 1), duration(milliseconds(1150)));
 	EXPECT_EQ(table.predict_stages(configuration, configuration.routes[0], { 5, 0 }, 1), duration(milliseconds(150)));
-	EXPECT_EQ(table.predict_stages(configuration, configuration.routes[0], { 5, 5 }, 0), idle) << "more urgent work goes first";
+	EXPECT_EQ(table.predict_stages(configuration, configuration.routes[0], { 5, 5 }, 0), idle) << "more urgent work comes first";
 	table.remove("search", 1, seconds(2));
 	EXPECT_EQ(table.predict_stages(configuration, configuration.routes[0], { 5, 5 }, 1), idle);
 }
@@ -344,7 +344,7 @@
 	table.take_peer("n2", { pool_commitment{ "search", LEAST_URGENT, seconds(3) } });
 	EXPECT_EQ(table.get_drain_time("search", 9), duration::zero());
 	EXPECT_EQ(table.get_drain_time("search", LEAST_URGENT), duration(seconds(5)));
-	EXPECT_EQ(table.get_own().front().priority, LEAST_URGENT) << "peers are told";
+	EXPECT_EQ(table.get_own().front().priority, LEAST_URGENT) << "it is reported to peers";
 }
 
 TEST(commitment_table, hubs_add_up_what_the_nodes_that_rely_on_them_admitted) {
@@ -365,7 +365,7 @@
 		EXPECT_EQ(table->get_drain_time("search", 1), duration(seconds(7)));
 	}
 	follower.add("search", 1, seconds(1));
-	EXPECT_EQ(follower.get_drain_time("search", 1), duration(seconds(8))) << "its own newest work counts at once, and once";
+	EXPECT_EQ(follower.get_drain_time("search", 1), duration(seconds(8))) << "its own newest work counts immediately, and only once";
 	hub.forget_peer("follower");
 	EXPECT_EQ(hub.get_drain_time("search", 1), duration(seconds(3)));
 	EXPECT_EQ(hub.get_subtree().front().work, duration(seconds(1)));
@@ -376,12 +376,12 @@
 	table.set_capacity("search", 1.0);
 	table.take_total({ pool_commitment{ "search", 1, seconds(5) } }, {});
 	table.take_peer("n2", { pool_commitment{ "search", 1, seconds(3) } });
-	EXPECT_EQ(table.get_drain_time("search", 1), duration(seconds(5))) << "not all other hubs were heard yet";
+	EXPECT_EQ(table.get_drain_time("search", 1), duration(seconds(5))) << "not all other hubs have reported yet";
 	table.take_peer("n3", { pool_commitment{ "search", 1, seconds(2) } });
 	table.forget_total();
 	EXPECT_EQ(table.get_drain_time("search", 1), duration(seconds(5)));
 	table.take_total({ pool_commitment{ "search", 1, seconds(5) } }, {});
-	EXPECT_EQ(table.get_drain_time("search", 1), duration(seconds(5))) << "and one that is none any more";
+	EXPECT_EQ(table.get_drain_time("search", 1), duration(seconds(5))) << "the same holds for a node that stops being a hub";
 }
 
 TEST(stage_times, a_stage_is_followed_by_the_longest_chain_of_stages_that_have_pieces) {
@@ -390,7 +390,7 @@
 	route.stages = { stage_spec{ "encode", {}, 10 }, stage_spec{ "search", { 0 }, 10 }, stage_spec{ "search", { 1 }, 10 }, stage_spec{ "encode", { 0 }, 10 }, stage_spec{ "elsewhere", { 2 }, 10 } };
 	const std::vector<duration> after = get_times_after(configuration, route, { 1, 5, 8, 1, 1 });
 	EXPECT_EQ(after, (std::vector<duration>{ milliseconds(330), milliseconds(180), duration::zero(), duration::zero(), duration::zero() }));
-	EXPECT_EQ(get_times_after(configuration, route, { 1, 5 }).front(), duration(milliseconds(150))) << "stages without pieces take no time";
+	EXPECT_EQ(get_times_after(configuration, route, { 1, 5 }).front(), duration(milliseconds(150))) << "stages without items take no time";
 }
 
 TEST(stage_transfers, each_piece_reads_all_its_inputs_and_the_service_the_final_results) {
@@ -403,7 +403,7 @@
 	EXPECT_EQ(transfers.find_makers_zone({}), "");
 	const std::vector<result_transfer> inputs = transfers.get_inputs_read(1);
 	ASSERT_EQ(inputs.size(), 4U);
-	EXPECT_EQ(inputs[0].bytes, 20U) << "two results of ten bytes, read by one piece in the same zone";
+	EXPECT_EQ(inputs[0].bytes, 20U) << "two results of ten bytes, read by one item in the same zone";
 	EXPECT_EQ(get_crossed_bytes(inputs), 40U);
 	EXPECT_EQ(get_crossed_bytes(transfers.get_final_read("llm", "c")), 10U);
 	EXPECT_TRUE(transfers.get_inputs_read(0).empty());
@@ -471,14 +471,14 @@
 TEST(engine_view, learns_that_an_engine_is_slow_and_forgets_it) {
 	engine_view view;
 	const std::vector<prompt_link> prompt{ { 11, 4000 } };
-	const duration usual = view.predict({ "e1", 1 }, prompt, at(milliseconds(0))).reading;
+	const duration typical = view.predict({ "e1", 1 }, prompt, at(milliseconds(0))).reading;
 	for (int i = 0; i < 8; i++) {
 		view.on_first_event({ "e1", 1 }, view.predict({ "e1", 1 }, prompt, at(milliseconds(i))), seconds(2), at(milliseconds(i)));
 	}
-	EXPECT_GT(view.predict({ "e1", 1 }, prompt, at(milliseconds(10))).reading, usual * 3);
-	EXPECT_LT(view.predict({ "e2", 1 }, prompt, at(milliseconds(10))).reading, usual * 3);
+	EXPECT_GT(view.predict({ "e1", 1 }, prompt, at(milliseconds(10))).reading, typical * 3);
+	EXPECT_LT(view.predict({ "e2", 1 }, prompt, at(milliseconds(10))).reading, typical * 3);
 	view.forget_engine({ "e1", 1 });
-	EXPECT_LT(view.predict({ "e1", 1 }, prompt, at(milliseconds(10))).reading, usual * 3);
+	EXPECT_LT(view.predict({ "e1", 1 }, prompt, at(milliseconds(10))).reading, typical * 3);
 }
 
 } // namespace calicoscale
--- a/tests/servers/gateway/lost_runs_test.cpp
+++ b/tests/servers/gateway/lost_runs_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: lost_runs_test.cpp
- * Which lost runs are blamed for the end of their endpoint, and what makes two requests one.
+ * Which runs are reported as possible causes of a crash of their endpoint, and when two requests have the same fingerprint.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -28,7 +28,7 @@
 	return true;
 }
 
-bool is_gone(const endpoint_identity &) {
+bool is_not_listed(const endpoint_identity &) {
 	return false;
 }
 
@@ -41,13 +41,13 @@
 		EXPECT_NE(make_fingerprint(content).content, make_fingerprint(other).content);
 	}
 	const request_fingerprint longer_customer = make_fingerprint(request_content{ "POST", "h.example", "/a?b", "hearthb", "ody" });
-	EXPECT_NE(make_fingerprint(content).content, longer_customer.content) << "fields keep their borders";
+	EXPECT_NE(make_fingerprint(content).content, longer_customer.content) << "the boundaries between fields are part of the fingerprint";
 }
 
 TEST(lost_runs_test, runs_are_blamed_when_nobody_listens_any_more) {
 	lost_runs lost;
 	EXPECT_TRUE(lost.add(ENGINE, make_run(1), START));
-	EXPECT_FALSE(lost.add(ENGINE, make_run(2), START)) << "one probe is enough";
+	EXPECT_FALSE(lost.add(ENGINE, make_run(2), START)) << "a probe is running already";
 	EXPECT_EQ(lost.on_probed(ENGINE, probe_end::REFUSED), (std::vector<request_fingerprint>{ make_run(1), make_run(2) }));
 	EXPECT_TRUE(lost.is_empty());
 }
@@ -56,7 +56,7 @@
 	lost_runs lost;
 	lost.add(ENGINE, make_run(1), START);
 	EXPECT_TRUE(lost.on_probed(ENGINE, probe_end::ACCEPTED).empty());
-	EXPECT_TRUE(lost.take_ended(is_gone, START).empty()) << "an entry that goes later has another cause";
+	EXPECT_TRUE(lost.take_ended(is_not_listed, START).empty()) << "an entry that is removed later has another cause";
 }
 
 TEST(lost_runs_test, where_nothing_comes_back_the_entry_tells) {
@@ -64,7 +64,7 @@
 	lost.add(ENGINE, make_run(1), START);
 	EXPECT_TRUE(lost.on_probed(ENGINE, probe_end::SILENT).empty());
 	EXPECT_TRUE(lost.take_ended(is_listed, START + seconds(2)).empty());
-	const std::vector<ended_endpoint> ended = lost.take_ended(is_gone, START + seconds(3));
+	const std::vector<ended_endpoint> ended = lost.take_ended(is_not_listed, START + seconds(3));
 	ASSERT_EQ(ended.size(), 1U);
 	EXPECT_EQ(ended.front().endpoint, ENGINE);
 	EXPECT_EQ(ended.front().lost_at, START);
@@ -75,7 +75,7 @@
 	lost.add(ENGINE, make_run(1), START);
 	lost.on_probed(ENGINE, probe_end::SILENT);
 	EXPECT_TRUE(lost.take_ended(is_listed, START + seconds(7)).empty());
-	EXPECT_TRUE(lost.take_ended(is_gone, START + seconds(8)).empty());
+	EXPECT_TRUE(lost.take_ended(is_not_listed, START + seconds(8)).empty());
 	EXPECT_TRUE(lost.is_empty());
 }
 
