--- a/misc/scripts/mutations.sh
+++ b/misc/scripts/mutations.sh
@@ -134,9 +134,9 @@
 mutate "roll-out" "a report is of an earlier window than what is told beside it" servers/rollout/rollout.cpp "	report.answers.advance_to(_record.get_index());
 " "" rollout_test
 mutate "evacuated zones" "nothing is refused at once" main/gateway/admission.cpp "if (closed.empty()) {" "if (true) {" gateway_evacuation_test
-mutate "cold endpoints" "each node has all that they bear" servers/gateway/sender_places.cpp "return rank ? p_places / nodes.size() + (*rank < p_places % nodes.size() ? 1 : 0) : 0;" "return rank ? p_places : 0;" endpoint_limits_test
-mutate "cold endpoints" "a node that knows no others sends" servers/gateway/sender_places.cpp "if (!_is_settled || !_is_own_zone(p_zone) || p_now - _first_view_at < PLACE_HELD) {" "if (!_is_own_zone(p_zone) || p_now - _first_view_at < PLACE_HELD) {" endpoint_limits_test
-mutate "cold endpoints" "a place counts at once" servers/gateway/sender_places.cpp "least = counts ? std::min(least, _count_in(view, p_endpoint, p_places)) : least;" "least = counts ? _count_in(view, p_endpoint, p_places) : least;" endpoint_limits_test
+mutate "cold endpoints" "each node has all that they bear" servers/gateway/sender_places.cpp "return rank ? p_slots / nodes.size() + (*rank < p_slots % nodes.size() ? 1 : 0) : 0;" "return rank ? p_slots : 0;" endpoint_limits_test
+mutate "cold endpoints" "a node that knows no others sends" servers/gateway/sender_places.cpp "if (!_is_settled || !_is_own_zone(p_zone) || p_now - _first_view_at < SLOT_ACTIVATION_DELAY) {" "if (!_is_own_zone(p_zone) || p_now - _first_view_at < SLOT_ACTIVATION_DELAY) {" endpoint_limits_test
+mutate "cold endpoints" "a place counts at once" servers/gateway/sender_places.cpp "min_slots = counts ? std::min(min_slots, _count_in(view, p_endpoint, p_slots)) : min_slots;" "min_slots = counts ? _count_in(view, p_endpoint, p_slots) : min_slots;" endpoint_limits_test
 mutate "named limits" "they are not asked for" servers/gateway/endpoint_limits.cpp "} else if (named) {" "} else if (false) {" named_limits_test
 mutate "named limits" "an answer without one never ends it" servers/gateway/named_limits.cpp "p_is_signed && p_sent_at > known->second.at" "false" named_limits_test
 mutate "named limits" "a late answer without one ends it" servers/gateway/named_limits.cpp "p_is_signed && p_sent_at > known->second.at" "p_is_signed" named_limits_test
@@ -150,9 +150,9 @@
 mutate "log eras" "an answer of another era is read on from" main/gateway/topic_reader.cpp "(is_other_era && !p_is_whole)" "false" gateway_era_test
 mutate "log eras" "what had gone comes back" servers/gateway/endpoint_directory.cpp "return is_recent && went != _went.end() && went->second <= _era_at;" "return false;" gateway_era_test
 mutate "lists told" "there is no budget" servers/membership/list_budget.cpp "if (_left <= 0.0) {" "if (false) {" list_budget_test
-mutate "stage search" "all works are looked at again after a vain search" servers/gateway/stage_pool.cpp "_vain_since = _vain_since.value_or(p_now);" "" stage_pool_search_test
-mutate "stage search" "a vain search holds for good" servers/gateway/stage_pool.cpp "p_now - *_vain_since >= VAIN_FOR" "false" stage_pool_search_test
-mutate "stage search" "a call that ends leaves a vain search in force" servers/gateway/stage_pool.cpp $'\t_search_all_again();\n\tconst running_call call' $'\tconst running_call call' stage_pool_search_test
+mutate "stage search" "all works are looked at again after a vain search" servers/gateway/stage_pool.cpp "_fruitless_since = _fruitless_since.value_or(p_now);" "" stage_pool_search_test
+mutate "stage search" "a vain search holds for good" servers/gateway/stage_pool.cpp "p_now - *_fruitless_since >= FRUITLESS_SEARCH_LIFETIME" "false" stage_pool_search_test
+mutate "stage search" "a call that ends leaves a vain search in force" servers/gateway/stage_pool.cpp $'\t_reset_search();\n\tconst running_call call' $'\tconst running_call call' stage_pool_search_test
 mutate "stage search" "a busy replica counts as a free one" servers/gateway/stage_pool.cpp "const bool is_busy = replica.calls >= _spec.slots;" "const bool is_busy = false;" stage_pool_test
 
 exit "$status"
--- a/servers/gateway/pool_meter.cpp
+++ b/servers/gateway/pool_meter.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: pool_meter.cpp
- * What a stage pool is seen to do while work waits.
+ * Measures the throughput of a stage pool while work waits.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -14,16 +14,17 @@
 
 namespace {
 
-/** Long enough for each replica to end a few calls. */
+/** Long enough for each replica to complete a few calls. */
 constexpr duration MEASURE_WINDOW = std::chrono::milliseconds(800);
-constexpr double BACKLOGGED_PART = 0.8;
-/** A pool that made nothing in a window is still not without any capacity. */
-constexpr double LEAST_CAPACITY = 0.2;
+/** Minimum share of a window with a backlog for the window to count. */
+constexpr double MIN_BACKLOGGED_SHARE = 0.8;
+/** Lower bound, because a pool that completed nothing in a window still has some capacity. */
+constexpr double MIN_CAPACITY = 0.2;
 
 } // namespace
 
-void pool_meter::tick(const stage_pool_spec &p_spec, std::size_t p_waiting_pieces, instant p_now) {
-	if (_ticked_at != instant{} && p_waiting_pieces >= p_spec.batch) {
+void pool_meter::tick(const stage_pool_spec &p_spec, std::size_t p_waiting_items, instant p_now) {
+	if (_ticked_at != instant{} && p_waiting_items >= p_spec.batch) {
 		_backlogged += p_now - _ticked_at;
 	}
 	_ticked_at = p_now;
@@ -31,17 +32,17 @@
 	if (window < MEASURE_WINDOW) {
 		return;
 	}
-	const bool was_backlogged = to_seconds(_backlogged) >= BACKLOGGED_PART * to_seconds(window);
+	const bool was_backlogged = to_seconds(_backlogged) >= MIN_BACKLOGGED_SHARE * to_seconds(window);
 	if (was_backlogged && window < MEASURE_WINDOW * 2) {
-		const duration cost = p_spec.piece_time * static_cast<duration::rep>(_made) + p_spec.call_time * static_cast<duration::rep>(_made) / static_cast<duration::rep>(p_spec.batch);
-		const double measured = std::max(LEAST_CAPACITY, to_seconds(cost) / to_seconds(window));
+		const duration cost = p_spec.piece_time * static_cast<duration::rep>(_completed_items) + p_spec.call_time * static_cast<duration::rep>(_completed_items) / static_cast<duration::rep>(p_spec.batch);
+		const double measured = std::max(MIN_CAPACITY, to_seconds(cost) / to_seconds(window));
 		_capacity = _capacity ? (*_capacity + measured) / 2.0 : measured;
 	} else {
 		_capacity.reset();
 	}
 	_window_started = p_now;
 	_backlogged = duration::zero();
-	_made = 0;
+	_completed_items = 0;
 }
 
 } // namespace calicoscale
--- a/servers/gateway/pool_meter.h
+++ b/servers/gateway/pool_meter.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: pool_meter.h
- * What a stage pool is seen to do while work waits.
+ * Measures the throughput of a stage pool while work waits.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -17,24 +17,24 @@
 namespace calicoscale {
 
 /**
- * Measures a pool's capacity in windows in which work waited nearly all the time: calls that are not full, lack of room and
- * slow replicas all show there. Without a backlog nothing can be told.
+ * Measures the capacity of a pool in time windows in which work waited nearly all the time, so that partly filled calls,
+ * lack of memory for results and slow replicas are accounted for. Without a backlog the throughput does not show the capacity.
  */
 class pool_meter {
 	instant _window_started{};
 	instant _ticked_at{};
-	duration _backlogged = duration::zero(); ///< Part of the window in which a call's pieces waited.
-	std::size_t _made = 0; ///< Pieces made in the window.
+	duration _backlogged = duration::zero(); ///< Time within the window in which at least one full call of items waited.
+	std::size_t _completed_items = 0; ///< Items completed in the window.
 	std::optional<double> _capacity;
 
 public:
-	/** A piece was made. */
-	void on_made() { _made++; }
+	/** Counts a completed item. */
+	void on_item_completed() { _completed_items++; }
 
-	/** Lets time pass. */
-	void tick(const stage_pool_spec &p_spec, std::size_t p_waiting_pieces, instant p_now);
+	/** Closes the window when it is over. Must be called regularly. */
+	void tick(const stage_pool_spec &p_spec, std::size_t p_waiting_items, instant p_now);
 
-	/** In usual replicas whose calls are full; empty when the last window had no backlog. */
+	/** Returns the capacity in typical replicas that run full calls; empty when the last window had no backlog. */
 	std::optional<double> get_capacity() const { return _capacity; }
 };
 
--- a/servers/gateway/pool_shards.cpp
+++ b/servers/gateway/pool_shards.cpp
@@ -19,14 +19,14 @@
 
 namespace {
 
-/** Replicas of one shard at least: some ten times as many as one call's time needs to even out what the shards get. */
-constexpr std::size_t LEAST_REPLICAS = 32;
-constexpr std::size_t MOST_SHARDS = 64;
-/** Between a pool's name and its shard; not a character of a name that an operator types. */
-constexpr char SHARD_MARK = '\x1f';
-constexpr char COUNT_MARK = '/';
+/** Minimum number of replicas of a shard: about ten times as many as balance the load of the shards within the time of one call. */
+constexpr std::size_t MIN_REPLICAS = 32;
+constexpr std::size_t MAX_SHARDS = 64;
+/** Separates the name of the pool from the shard; a character that names typed by an operator do not contain. */
+constexpr char SHARD_SEPARATOR = '\x1f';
+constexpr char COUNT_SEPARATOR = '/';
 
-std::optional<std::size_t> read_number(std::string_view p_text) {
+std::optional<std::size_t> parse_number(std::string_view p_text) {
 	std::size_t number = 0;
 	const auto [end, error] = std::from_chars(p_text.data(), p_text.data() + p_text.size(), number);
 	return error == std::errc() && end == p_text.data() + p_text.size() ? std::optional(number) : std::nullopt;
@@ -39,27 +39,27 @@
 }
 
 std::size_t count_shards(std::size_t p_replicas) {
-	const std::size_t most = p_replicas / LEAST_REPLICAS;
-	return most <= 1 ? 1 : std::min(std::bit_floor(most), MOST_SHARDS);
+	const std::size_t max_shards = p_replicas / MIN_REPLICAS;
+	return max_shards <= 1 ? 1 : std::min(std::bit_floor(max_shards), MAX_SHARDS);
 }
 
 std::string make_shard_name(const pool_shard &p_shard) {
 	if (p_shard.count <= 1) {
 		return p_shard.pool;
 	}
-	return p_shard.pool + SHARD_MARK + std::to_string(p_shard.index) + COUNT_MARK + std::to_string(p_shard.count);
+	return p_shard.pool + SHARD_SEPARATOR + std::to_string(p_shard.index) + COUNT_SEPARATOR + std::to_string(p_shard.count);
 }
 
 pool_shard parse_shard_name(const std::string &p_name) {
-	const std::size_t mark = p_name.find(SHARD_MARK);
-	const std::size_t slash = p_name.find(COUNT_MARK, mark == std::string::npos ? p_name.size() : mark);
-	if (mark == std::string::npos || slash == std::string::npos) {
+	const std::size_t separator = p_name.find(SHARD_SEPARATOR);
+	const std::size_t slash = p_name.find(COUNT_SEPARATOR, separator == std::string::npos ? p_name.size() : separator);
+	if (separator == std::string::npos || slash == std::string::npos) {
 		return pool_shard{ p_name, 0, 1 };
 	}
-	const std::optional<std::size_t> index = read_number(std::string_view(p_name).substr(mark + 1, slash - mark - 1));
-	const std::optional<std::size_t> count = read_number(std::string_view(p_name).substr(slash + 1));
-	const bool is_sound = index && count && *count > 1 && *count <= MOST_SHARDS && *index < *count;
-	return is_sound ? pool_shard{ p_name.substr(0, mark), *index, *count } : pool_shard{ p_name, 0, 1 };
+	const std::optional<std::size_t> index = parse_number(std::string_view(p_name).substr(separator + 1, slash - separator - 1));
+	const std::optional<std::size_t> count = parse_number(std::string_view(p_name).substr(slash + 1));
+	const bool is_valid = index && count && *count > 1 && *count <= MAX_SHARDS && *index < *count;
+	return is_valid ? pool_shard{ p_name.substr(0, separator), *index, *count } : pool_shard{ p_name, 0, 1 };
 }
 
 std::string choose_shard(const std::string &p_pool, std::size_t p_count, std::string_view p_attempt) {
--- a/servers/gateway/pool_shards.h
+++ b/servers/gateway/pool_shards.h
@@ -16,29 +16,29 @@
 namespace calicoscale {
 
 /**
- * One part of a stage pool: the replicas that a hash gives it, and its part of the work. The load it answers is a fleet in which
- * one dispatcher would carry the queue, the links and the messages of hundreds of nodes. A shard is large enough that the
- * work of all nodes still fills its calls.
+ * One part of a stage pool: the replicas that a hash assigns to it, and its share of the work. Without shards one dispatcher
+ * of a large fleet would handle the queue, the links and the messages of hundreds of nodes. A shard is large enough that
+ * the work of all nodes still fills its calls.
  */
 struct pool_shard {
 	std::string pool;
 	std::size_t index = 0;
-	std::size_t count = 1; ///< Of shards of the pool.
+	std::size_t count = 1; ///< Number of shards of the pool.
 
-	/** Whether a replica belongs to it. */
+	/** Returns whether a replica belongs to the shard. */
 	bool has(std::string_view p_replica) const;
 };
 
-/** Shards of a pool with so many replicas: a power of two, so that the number changes rarely. */
+/** Returns the number of shards for a pool with that many replicas: a power of two, so that it changes rarely. */
 std::size_t count_shards(std::size_t p_replicas);
 
-/** Name by which nodes call a shard; that of the pool if it is the only one. */
+/** Returns the name of a shard in messages between nodes; the name of the pool if it is the only shard. */
 std::string make_shard_name(const pool_shard &p_shard);
 
-/** Reads a name; any other text is that of a pool with one shard. */
+/** Parses a shard name; any other text is taken as the name of a pool with one shard. */
 pool_shard parse_shard_name(const std::string &p_name);
 
-/** Shard of a pool for the work of a request. */
+/** Returns the name of the shard that the work of a request goes to. */
 std::string choose_shard(const std::string &p_pool, std::size_t p_count, std::string_view p_attempt);
 
 } // namespace calicoscale
--- a/servers/gateway/result_room.cpp
+++ b/servers/gateway/result_room.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: result_room.cpp
- * Room that results hold at the replicas of a stage pool.
+ * Memory that stored results occupy at the replicas of a stage pool.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -13,13 +13,13 @@
 
 namespace calicoscale {
 
-void result_room::set_bounds(double p_room_bytes, duration p_time_to_live) {
-	_room_bytes = p_room_bytes;
+void result_room::set_bounds(double p_capacity_bytes, duration p_time_to_live) {
+	_capacity_bytes = p_capacity_bytes;
 	_time_to_live = p_time_to_live;
 }
 
 void result_room::keep(const std::string &p_handle, const endpoint_identity &p_replica, double p_bytes, const std::string &p_owner, instant p_now) {
-	if (_results.emplace(p_handle, kept_result{ p_replica, p_bytes, p_now + _time_to_live, p_owner }).second) {
+	if (_results.emplace(p_handle, stored_result{ p_replica, p_bytes, p_now + _time_to_live, p_owner }).second) {
 		_replicas[p_replica].used += p_bytes;
 	}
 }
@@ -67,10 +67,10 @@
 	release(expired);
 }
 
-void result_room::on_refused(const endpoint_identity &p_replica, double p_known, instant p_now) {
-	replica_room &replica = _replicas[p_replica];
-	replica.lost = std::max(0.0, _room_bytes - p_known);
-	replica.lost_at = p_now;
+void result_room::on_refused(const endpoint_identity &p_replica, double p_known_bytes, instant p_now) {
+	replica_usage &replica = _replicas[p_replica];
+	replica.unknown = std::max(0.0, _capacity_bytes - p_known_bytes);
+	replica.unknown_at = p_now;
 }
 
 double result_room::get_used(const endpoint_identity &p_replica) const {
@@ -79,18 +79,18 @@
 }
 
 double result_room::get_left(const endpoint_identity &p_replica, instant p_now) const {
-	if (_room_bytes <= 0.0) {
+	if (_capacity_bytes <= 0.0) {
 		return std::numeric_limits<double>::infinity();
 	}
 	const auto found = _replicas.find(p_replica);
 	if (found == _replicas.end()) {
-		return _room_bytes;
+		return _capacity_bytes;
 	}
-	const replica_room &replica = found->second;
-	// What is not known goes by its time to live, or earlier when somebody releases it.
-	const double age = _time_to_live > duration::zero() ? to_seconds(p_now - replica.lost_at) / to_seconds(_time_to_live) : 1.0;
-	const double lost = replica.lost * std::max(0.0, 1.0 - age);
-	return _room_bytes - replica.used - lost;
+	const replica_usage &replica = found->second;
+	// Results that are not known here expire within their time to live, or are released earlier by another node.
+	const double age = _time_to_live > duration::zero() ? to_seconds(p_now - replica.unknown_at) / to_seconds(_time_to_live) : 1.0;
+	const double unknown = replica.unknown * std::max(0.0, 1.0 - age);
+	return _capacity_bytes - replica.used - unknown;
 }
 
 void result_room::forget_replica(const endpoint_identity &p_replica) {
--- a/servers/gateway/sender_places.cpp
+++ b/servers/gateway/sender_places.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: sender_places.cpp
- * Which nodes send to an endpoint that takes a few requests a second from all of them together.
+ * Selects the nodes that send to an endpoint that accepts only a few requests a second from all nodes together.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -17,10 +17,10 @@
 
 namespace {
 
-/** A second in which sends count, and some heartbeats, in which a node becomes known to the others of its zone. */
-constexpr duration PLACE_HELD = std::chrono::milliseconds(1500);
-/** A node that has not settled may do so within this. */
-constexpr duration SETTLE_PAUSE = std::chrono::milliseconds(100);
+/** The second in which sends count, and some heartbeats, by which a node becomes known to the others of its zone. */
+constexpr duration SLOT_ACTIVATION_DELAY = std::chrono::milliseconds(1500);
+/** Delay reported while this node has not received the list of nodes: it may receive it within this time. */
+constexpr duration SETTLE_DELAY = std::chrono::milliseconds(100);
 
 std::uint64_t get_score(const std::string &p_node, const endpoint_identity &p_endpoint) {
 	return hash_bytes(p_node, hash_bytes(p_endpoint.vm, p_endpoint.incarnation));
@@ -32,7 +32,7 @@
 	_fleet_nodes = std::max<std::size_t>(1, p_senders.fleet_nodes);
 	_is_settled = p_senders.is_settled;
 	_first_view_at = _first_view_at == instant{} ? p_now : _first_view_at;
-	while (_views.size() > 1 && p_now - _views.front().replaced_at >= PLACE_HELD) {
+	while (_views.size() > 1 && p_now - _views.front().replaced_at >= SLOT_ACTIVATION_DELAY) {
 		_views.pop_front();
 	}
 	if (!_views.empty() && _views.back().zone_nodes == p_senders.zone_nodes) {
@@ -44,7 +44,7 @@
 	_views.push_back(sender_view{ p_senders.zone_nodes, instant{}, {} });
 }
 
-std::size_t sender_places::_count_in(sender_view &r_view, const endpoint_identity &p_endpoint, std::size_t p_places) const {
+std::size_t sender_places::_count_in(sender_view &r_view, const endpoint_identity &p_endpoint, std::size_t p_slots) const {
 	const std::vector<std::string> &nodes = r_view.zone_nodes;
 	const auto known = r_view.ranks.find(p_endpoint);
 	if (known == r_view.ranks.end()) {
@@ -58,31 +58,31 @@
 		}
 	}
 	const std::optional<std::size_t> &rank = r_view.ranks.at(p_endpoint);
-	return rank ? p_places / nodes.size() + (*rank < p_places % nodes.size() ? 1 : 0) : 0;
+	return rank ? p_slots / nodes.size() + (*rank < p_slots % nodes.size() ? 1 : 0) : 0;
 }
 
-std::size_t sender_places::count_own(const endpoint_identity &p_endpoint, const std::string &p_zone, std::size_t p_places, instant p_now) {
-	if (!_is_settled || !_is_own_zone(p_zone) || p_now - _first_view_at < PLACE_HELD) {
+std::size_t sender_places::count_own(const endpoint_identity &p_endpoint, const std::string &p_zone, std::size_t p_slots, instant p_now) {
+	if (!_is_settled || !_is_own_zone(p_zone) || p_now - _first_view_at < SLOT_ACTIVATION_DELAY) {
 		return 0;
 	}
-	std::size_t least = std::numeric_limits<std::size_t>::max();
+	std::size_t min_slots = std::numeric_limits<std::size_t>::max();
 	for (sender_view &view : _views) {
-		const bool counts = view.replaced_at == instant{} || p_now - view.replaced_at < PLACE_HELD;
-		least = counts ? std::min(least, _count_in(view, p_endpoint, p_places)) : least;
+		const bool counts = view.replaced_at == instant{} || p_now - view.replaced_at < SLOT_ACTIVATION_DELAY;
+		min_slots = counts ? std::min(min_slots, _count_in(view, p_endpoint, p_slots)) : min_slots;
 	}
-	return least;
+	return min_slots;
 }
 
-std::size_t sender_places::count_soon(const endpoint_identity &p_endpoint, const std::string &p_zone, std::size_t p_places) {
-	return _views.empty() || !_is_own_zone(p_zone) ? 0 : _count_in(_views.back(), p_endpoint, p_places);
+std::size_t sender_places::count_soon(const endpoint_identity &p_endpoint, const std::string &p_zone, std::size_t p_slots) {
+	return _views.empty() || !_is_own_zone(p_zone) ? 0 : _count_in(_views.back(), p_endpoint, p_slots);
 }
 
 duration sender_places::get_time_to_hold(instant p_now) const {
-	instant held_at = _first_view_at + PLACE_HELD;
+	instant active_at = _first_view_at + SLOT_ACTIVATION_DELAY;
 	if (_views.size() > 1) {
-		held_at = std::max(held_at, _views[_views.size() - 2].replaced_at + PLACE_HELD);
+		active_at = std::max(active_at, _views[_views.size() - 2].replaced_at + SLOT_ACTIVATION_DELAY);
 	}
-	return std::max(held_at - p_now, _is_settled ? duration::zero() : SETTLE_PAUSE);
+	return std::max(active_at - p_now, _is_settled ? duration::zero() : SETTLE_DELAY);
 }
 
 double sender_places::get_phase(const endpoint_identity &p_endpoint) const {
--- a/servers/gateway/sender_places.h
+++ b/servers/gateway/sender_places.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: sender_places.h
- * Which nodes send to an endpoint that takes a few requests a second from all of them together.
+ * Selects the nodes that send to an endpoint that accepts only a few requests a second from all nodes together.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -20,60 +20,60 @@
 
 namespace calicoscale {
 
-/** Nodes among which this node shares, as far as it knows them. */
+/** Nodes that share the slots of endpoints, as known to this node. */
 struct known_senders {
-	std::vector<std::string> zone_nodes; ///< Of its own availability zone, itself included, also those that are silent just now.
+	std::vector<std::string> zone_nodes; ///< Nodes of its own availability zone, including itself and nodes that are temporarily silent.
 	std::size_t fleet_nodes = 1;
-	bool is_settled = true; ///< This node has been told who else there is; until then it has no places.
+	bool is_settled = true; ///< This node has received the list of the other nodes; until then it has no slots.
 };
 
 /**
- * Places at endpoints: an endpoint's few requests a second are given to nodes of its zone, ranked by a hash, one each or more
- * when there are fewer nodes. No node need hear another.
+ * Divides the few requests a second that an endpoint accepts into slots. The slots go to the nodes of the endpoint's zone,
+ * ranked by a hash: one each, or more when there are fewer nodes than slots. The nodes exchange no messages for this.
  *
- * A place that a node would have by the nodes it knows now counts only once it has had it for a while: by then those that
- * had it before have heard of this node, and what they sent is older than the second for which it counts. So nodes that start,
- * and nodes that others do not know yet, begin later instead of beside them. Nodes that hear different peers for longer than
- * that may each take a place for theirs, so the sum may double while they disagree.
+ * A slot that a node has according to the nodes it knows now becomes active only after a delay. By then the nodes that had
+ * the slot before know of this node, and what they sent is older than the second in which sends count. So a node that has
+ * just started, or that others do not know yet, begins after the previous holder stops. Nodes that disagree for longer
+ * than the delay about which nodes exist may each claim the same slot, so the total rate may double meanwhile.
  */
 class sender_places {
-	/** The nodes of the zone as this node knew them for a time. */
+	/** The nodes of the zone as this node knew them during some period. */
 	struct sender_view {
 		std::vector<std::string> zone_nodes;
-		instant replaced_at{}; ///< Unset for the one in force.
-		std::map<endpoint_identity, std::optional<std::size_t>> ranks; ///< Of this node; none where it is not among the nodes.
+		instant replaced_at{}; ///< Unset for the current view.
+		std::map<endpoint_identity, std::optional<std::size_t>> ranks; ///< Rank of this node; empty if it is not among the nodes.
 	};
 
 	std::string _vm;
 	std::string _zone;
-	std::deque<sender_view> _views; ///< The one in force last, before it those that were a short while ago.
+	std::deque<sender_view> _views; ///< The current view last; before it the recent ones.
 	instant _first_view_at{};
 	std::size_t _fleet_nodes = 1;
 	bool _is_settled = false;
 
 	bool _is_own_zone(const std::string &p_zone) const { return p_zone.empty() || p_zone == _zone; }
-	std::size_t _count_in(sender_view &r_view, const endpoint_identity &p_endpoint, std::size_t p_places) const;
+	std::size_t _count_in(sender_view &r_view, const endpoint_identity &p_endpoint, std::size_t p_slots) const;
 
 public:
 	sender_places(std::string p_vm, std::string p_zone) :
 			_vm(std::move(p_vm)), _zone(std::move(p_zone)) {}
 
-	/** Whom this node shares with. To be called often from its start on, as places count from when they are had. */
+	/** Sets the nodes that share the slots. Must be called often from the start of the node, because the activation delay runs from these calls. */
 	void set_senders(const known_senders &p_senders, instant p_now);
 
-	/** How many of an endpoint's places are this node's. */
-	std::size_t count_own(const endpoint_identity &p_endpoint, const std::string &p_zone, std::size_t p_places, instant p_now);
+	/** Returns the number of active slots that this node has at an endpoint. */
+	std::size_t count_own(const endpoint_identity &p_endpoint, const std::string &p_zone, std::size_t p_slots, instant p_now);
 
-	/** How many will be this node's when nothing changes until get_time_to_hold() is over. */
-	std::size_t count_soon(const endpoint_identity &p_endpoint, const std::string &p_zone, std::size_t p_places);
+	/** Returns the number of slots that this node will have after get_time_to_hold() if nothing changes. */
+	std::size_t count_soon(const endpoint_identity &p_endpoint, const std::string &p_zone, std::size_t p_slots);
 
-	/** How long until the places that this node would have by the nodes it knows now count. */
+	/** Returns the time until the slots become active that this node has according to the nodes it knows now. */
 	duration get_time_to_hold(instant p_now) const;
 
-	/** Where a node stands among others at an endpoint, from 0 to 1. */
+	/** Returns a hash-based phase of this node at an endpoint, from 0 to 1, that spreads the sends of different nodes. */
 	double get_phase(const endpoint_identity &p_endpoint) const;
 
-	/** Drops what is kept of an endpoint. */
+	/** Removes the state of an endpoint. */
 	void forget(const endpoint_identity &p_endpoint);
 
 	std::size_t get_fleet_nodes() const { return _fleet_nodes; }
--- a/servers/gateway/stage_call.cpp
+++ b/servers/gateway/stage_call.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: stage_call.cpp
- * Stage work, the calls that carry its pieces, and how they end.
+ * Stage work, the calls that carry its items, and their outcomes.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
--- a/servers/gateway/stage_call.h
+++ b/servers/gateway/stage_call.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: stage_call.h
- * Stage work, the calls that carry its pieces, and how they end.
+ * Stage work, the calls that carry its items, and their outcomes.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -21,28 +21,28 @@
 
 namespace calicoscale {
 
-/** Names a piece of work inside one dispatcher. */
+/** Identifies one stage_work within one dispatcher. */
 using work_id = std::uint64_t;
 
-/** One stage of one request: some pieces that need the same inputs. */
+/** One stage of one request: a number of items that need the same inputs. */
 struct stage_work {
 	std::string attempt; ///< The caller's id of the request.
 	std::size_t stage = 0;
 	std::size_t pieces = 0;
-	std::string caller_key; ///< What the caller gave for stages without inputs.
+	std::string caller_key; ///< Key that the caller gave, for stages without inputs.
 	std::vector<std::string> inputs;
-	instant give_up_at{}; ///< Nobody waits any longer.
-	instant due_at{}; ///< The stage must be done by then for the answer to begin within its objective.
+	instant give_up_at{}; ///< Deadline of the request; the work ends as late then.
+	instant due_at{}; ///< Time by which the stage must be done for the answer to begin within its objective.
 	int priority = 0; ///< 0 is the most urgent.
-	std::string zone; ///< Where the inputs lie or the results will be used; empty when it does not matter.
-	std::size_t transfer_bytes = 0; ///< What would cross zones elsewhere.
+	std::string zone; ///< Zone where the inputs are stored or the results will be used; empty when it does not matter.
+	std::size_t transfer_bytes = 0; ///< Bytes that cross zones when the work runs in another zone.
 	std::size_t result_bytes = 0;
-	request_fingerprint run; ///< Of the request; it is known by it where a replica ends under it.
-	bool is_alone = false; ///< A replica may end under it: it shares no call with other requests, and each piece is tried once.
-	home_regions homes; ///< Only replicas there make its pieces.
+	request_fingerprint run; ///< Fingerprint of the request, which identifies it when a replica crashes while running it.
+	bool is_alone = false; ///< The request may crash a replica: it shares no call with other requests, and each item is tried once.
+	home_regions homes; ///< Only replicas in these run its items.
 };
 
-/** One piece in a call. */
+/** One item in a call. */
 struct stage_item {
 	work_id work = 0;
 	std::size_t piece = 0;
@@ -53,11 +53,11 @@
 	std::uint64_t id = 0;
 	endpoint_identity replica;
 	network_address to;
-	std::string zone; ///< Of the replica.
+	std::string zone; ///< Zone of the replica.
 	std::vector<stage_item> items;
 };
 
-/** How one piece of an answered call ended. */
+/** Outcome of one item of an answered call. */
 enum class item_end {
 	DONE,
 	LATE,
@@ -66,45 +66,45 @@
 	FAILED,
 };
 
-/** One piece of an answer. */
+/** Result of one item in an answer. */
 struct item_result {
 	item_end end = item_end::FAILED;
-	std::string handle; ///< Of the result, when done.
+	std::string handle; ///< Handle of the result, when done.
 };
 
-/** How a call ended. */
+/** Outcome of a call. */
 enum class call_end {
 	ANSWERED,
-	REFUSED, ///< The replica says that nothing ran.
+	REFUSED, ///< The replica reported that nothing ran.
 	UNREACHABLE, ///< Nothing was sent.
-	BROKEN, ///< Whether anything ran is not known.
+	BROKEN, ///< It is unknown whether anything ran.
 };
 
-/** How the work of one stage ended. */
+/** Outcome of the work of one stage. */
 enum class work_end {
 	DONE,
-	INPUT_GONE, ///< A result it needs is lost.
-	LATE, ///< Nobody waits any more.
+	INPUT_GONE, ///< A result that it needs was lost.
+	LATE, ///< Its deadline has passed.
 	FAILED,
-	DROPPED, ///< By the node that it was handed to; its owner may ask again.
+	DROPPED, ///< Dropped by the node that it was assigned to; its owner may request it again.
 };
 
-/** Name of an end, e.g. "input_gone". */
+/** Returns the name of an outcome, e.g. "input_gone". */
 std::string_view get_name(work_end p_end);
 
 /** Work that ended. */
 struct work_result {
 	work_id id = 0;
 	work_end end = work_end::FAILED;
-	std::vector<std::string> handles; ///< One for each piece, when done.
-	std::vector<std::uint64_t> incarnations; ///< Of the replicas that made them.
+	std::vector<std::string> handles; ///< One for each item, when done.
+	std::vector<std::uint64_t> incarnations; ///< Incarnations of the replicas that produced them.
 };
 
-/** A result that somebody holds, as told to the pool. */
+/** A result that a node owns, as reported to the pool. */
 struct held_result {
 	std::string handle;
-	network_address maker; ///< The replica that made it.
-	std::uint64_t incarnation = 0; ///< Of that replica; 0 when it is not known.
+	network_address maker; ///< Replica that produced it.
+	std::uint64_t incarnation = 0; ///< Incarnation of that replica; 0 when unknown.
 	double bytes = 0.0;
 };
 
--- a/servers/gateway/stage_graph.cpp
+++ b/servers/gateway/stage_graph.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: stage_graph.cpp
- * The stages of one request: what can be asked for, what it needs, what may be released.
+ * The stages of one request: which can be requested, their inputs, and the results that may be released.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -13,12 +13,12 @@
 
 namespace calicoscale {
 
-stage_graph::stage_graph(std::vector<stage_spec> p_specs, const std::vector<std::size_t> &p_pieces) :
+stage_graph::stage_graph(std::vector<stage_spec> p_specs, const std::vector<std::size_t> &p_item_counts) :
 		_specs(std::move(p_specs)), _stages(_specs.size()) {
 	for (std::size_t i = 0; i < _stages.size(); i++) {
-		_stages[i].pieces = i < p_pieces.size() ? p_pieces[i] : 0;
-		_stages[i].done = _stages[i].pieces == 0;
-		_stages[i].asked = _stages[i].done;
+		_stages[i].items = i < p_item_counts.size() ? p_item_counts[i] : 0;
+		_stages[i].done = _stages[i].items == 0;
+		_stages[i].requested = _stages[i].done;
 	}
 }
 
@@ -47,8 +47,8 @@
 std::vector<std::size_t> stage_graph::take_ready() {
 	std::vector<std::size_t> ready;
 	for (std::size_t i = 0; i < _stages.size(); i++) {
-		if (!_stages[i].asked && _is_ready(i)) {
-			_stages[i].asked = true;
+		if (!_stages[i].requested && _is_ready(i)) {
+			_stages[i].requested = true;
 			ready.push_back(i);
 		}
 	}
@@ -94,8 +94,8 @@
 
 void stage_graph::restart() {
 	for (stage_state &stage : _stages) {
-		stage.done = stage.pieces == 0;
-		stage.asked = stage.done;
+		stage.done = stage.items == 0;
+		stage.requested = stage.done;
 		stage.released = false;
 		stage.results.clear();
 	}
@@ -106,7 +106,7 @@
 }
 
 bool stage_graph::is_empty() const {
-	return std::all_of(_stages.begin(), _stages.end(), [](const stage_state &p_stage) { return p_stage.pieces == 0; });
+	return std::all_of(_stages.begin(), _stages.end(), [](const stage_state &p_stage) { return p_stage.items == 0; });
 }
 
 } // namespace calicoscale
--- a/servers/gateway/stage_graph.h
+++ b/servers/gateway/stage_graph.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: stage_graph.h
- * The stages of one request: what can be asked for, what it needs, what may be released.
+ * The stages of one request: which can be requested, their inputs, and the results that may be released.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -17,13 +17,13 @@
 namespace calicoscale {
 
 /**
- * Progress of one request through its stages. A stage with no pieces is left out. Results are known by handles that
- * name their maker; when one is lost, everything is made again from the start.
+ * Progress of one request through its stages. A stage without items is skipped. Results are identified by handles that
+ * name their producer; when a result is lost, all stages are run again from the start.
  */
 class stage_graph {
 	struct stage_state {
-		std::size_t pieces = 0;
-		bool asked = false;
+		std::size_t items = 0;
+		bool requested = false;
 		bool done = false;
 		bool released = false;
 		std::vector<std::string> results;
@@ -38,38 +38,38 @@
 public:
 	stage_graph() = default;
 
-	/** @param p_pieces number of pieces of each stage; missing ones count as none. */
-	stage_graph(std::vector<stage_spec> p_specs, const std::vector<std::size_t> &p_pieces);
+	/** @param p_item_counts number of items of each stage; missing entries count as 0. */
+	stage_graph(std::vector<stage_spec> p_specs, const std::vector<std::size_t> &p_item_counts);
 
-	/** Stages that can be asked for now; each is returned once. */
+	/** Returns the stages that can be requested now; each is returned once. */
 	std::vector<std::size_t> take_ready();
 
-	/** All results of a stage have come. */
+	/** Records that all results of a stage have been received. */
 	void set_done(std::size_t p_stage, std::vector<std::string> p_results);
 
-	/** Handles a stage needs: every result of every stage before it. */
+	/** Returns the handles that a stage needs: all results of its direct input stages. */
 	std::vector<std::string> get_inputs(std::size_t p_stage) const;
 
-	/** Results of a stage, as long as they are not released. */
+	/** Returns the handles of the results of a stage. */
 	const std::vector<std::string> &get_results(std::size_t p_stage) const { return _stages[p_stage].results; }
 
-	/** Handles the service needs: the results of the stages that none follows. */
+	/** Returns the handles that the service needs: the results of the stages that are not input of another stage. */
 	std::vector<std::string> get_final_results() const;
 
-	/** Results of a stage if no other stage needs them any more; each is returned once. Final ones are the service's. */
+	/** Returns the results of a stage once no other stage needs them; each is returned once. Final results belong to the service and are not returned. */
 	std::vector<std::string> take_spent(std::size_t p_stage);
 
-	/** Results of a stage that were not released yet, for the end of the request. */
+	/** Returns the results of a stage that were not released yet, for the end of the request. */
 	std::vector<std::string> take_all(std::size_t p_stage);
 
-	/** Forgets all results, so that everything is made again. */
+	/** Clears all results, so that all stages are run again. */
 	void restart();
 
-	/** Whether no other stage needs its results, so that they are the service's. */
+	/** Returns whether no other stage needs the results of a stage, so that they belong to the service. */
 	bool is_final(std::size_t p_stage) const;
 
 	std::size_t get_stage_count() const { return _stages.size(); }
-	std::size_t get_pieces(std::size_t p_stage) const { return _stages[p_stage].pieces; }
+	std::size_t get_pieces(std::size_t p_stage) const { return _stages[p_stage].items; }
 	const stage_spec &get_spec(std::size_t p_stage) const { return _specs[p_stage]; }
 	bool is_complete() const;
 	bool is_empty() const;
--- a/servers/gateway/stage_replica.h
+++ b/servers/gateway/stage_replica.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: stage_replica.h
- * One replica of a stage pool as the dispatcher of the pool knows it.
+ * State of one stage replica as known to the dispatcher of its pool.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -14,15 +14,15 @@
 
 namespace calicoscale {
 
-/** One replica of a stage pool as the dispatcher of the pool knows it. */
+/** State of one stage replica as known to the dispatcher of its pool. */
 struct stage_replica {
 	endpoint_listing listing;
 	bool listed = true; ///< It may get work.
-	bool replaced = false; ///< It started again, which is another replica here.
-	int calls = 0; ///< At work there.
-	instant free_at{}; ///< When the call at work is expected to end.
+	bool replaced = false; ///< It restarted; the later incarnation has its own entry.
+	int calls = 0; ///< Number of running calls.
+	instant free_at{}; ///< Time at which the running call is expected to end.
 	instant blocked_until{};
-	int failures = 0; ///< Of calls in a row.
+	int failures = 0; ///< Number of consecutive failed calls.
 	replica_pace pace;
 };
 
--- a/servers/gateway/stage_times.h
+++ b/servers/gateway/stage_times.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: stage_times.h
- * How long the stages of a route take when nothing waits.
+ * Time that the stages of a route take without queueing.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -15,14 +15,14 @@
 
 namespace calicoscale {
 
-/** Time of a call that carries some pieces of a request beside those that others usually put into it. */
-duration get_shared_call_time(const stage_pool_spec &p_spec, std::size_t p_pieces);
+/** Returns the time of a call that carries items of one request together with the items that other requests typically add. */
+duration get_shared_call_time(const stage_pool_spec &p_spec, std::size_t p_items);
 
 /**
- * For each stage the time from its end until the last stage is done, along the longest chain.
- * @param p_pieces pieces of each stage; missing ones count as none, and such a stage takes no time.
+ * Returns for each stage the time from its end until the last stage is done, along the longest chain.
+ * @param p_items number of items of each stage; missing entries count as 0, and a stage without items takes no time.
  */
-std::vector<duration> get_times_after(const gateway_configuration &p_configuration, const gateway_route &p_route, const std::vector<std::size_t> &p_pieces);
+std::vector<duration> get_times_after(const gateway_configuration &p_configuration, const gateway_route &p_route, const std::vector<std::size_t> &p_items);
 
 } // namespace calicoscale
 
--- a/servers/gateway/stage_transfers.cpp
+++ b/servers/gateway/stage_transfers.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: stage_transfers.cpp
- * Between which availability zones the results of a request's stages are read.
+ * Transfers of stage results of a request between availability zones.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -13,11 +13,11 @@
 namespace calicoscale {
 
 std::size_t get_crossed_bytes(const std::vector<result_transfer> &p_transfers) {
-	std::size_t crossed = 0;
+	std::size_t cross_zone_bytes = 0;
 	for (const result_transfer &transfer : p_transfers) {
-		crossed += transfer.from_zone == transfer.to_zone ? 0 : transfer.bytes;
+		cross_zone_bytes += transfer.from_zone == transfer.to_zone ? 0 : transfer.bytes;
 	}
-	return crossed;
+	return cross_zone_bytes;
 }
 
 stage_transfers::zone_counts stage_transfers::_count_zones(const std::vector<std::string> &p_handles) const {
@@ -30,15 +30,15 @@
 
 std::string stage_transfers::find_makers_zone(const std::vector<std::string> &p_handles) const {
 	const zone_counts counts = _count_zones(p_handles);
-	const auto most = std::max_element(counts.begin(), counts.end(), [](const auto &p_left, const auto &p_right) { return p_left.second < p_right.second; });
-	return most == counts.end() ? "" : most->first;
+	const auto largest = std::max_element(counts.begin(), counts.end(), [](const auto &p_left, const auto &p_right) { return p_left.second < p_right.second; });
+	return largest == counts.end() ? "" : largest->first;
 }
 
 void stage_transfers::_add_read(std::vector<result_transfer> &r_transfers, std::size_t p_stage, const std::string &p_reader, const zone_counts &p_readers) const {
 	const stage_spec &spec = _stages.get_spec(p_stage);
-	for (const auto &[maker_zone, made] : _count_zones(_stages.get_results(p_stage))) {
+	for (const auto &[producer_zone, results] : _count_zones(_stages.get_results(p_stage))) {
 		for (const auto &[reader_zone, readers] : p_readers) {
-			r_transfers.push_back(result_transfer{ spec.pool, p_reader, maker_zone, reader_zone, spec.result_bytes * made * readers });
+			r_transfers.push_back(result_transfer{ spec.pool, p_reader, producer_zone, reader_zone, spec.result_bytes * results * readers });
 		}
 	}
 }
--- a/servers/gateway/stage_transfers.h
+++ b/servers/gateway/stage_transfers.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: stage_transfers.h
- * Between which availability zones the results of a request's stages are read.
+ * Transfers of stage results of a request between availability zones.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,19 +18,19 @@
 
 namespace calicoscale {
 
-/** Results of one pool that were read by another pool or by the service. */
+/** Results of one pool that another pool or the service reads. */
 struct result_transfer {
 	std::string from_pool;
-	std::string to;
+	std::string to; ///< Pool or service that reads.
 	std::string from_zone;
 	std::string to_zone;
-	std::size_t bytes = 0; ///< Each piece that reads counts with all its inputs.
+	std::size_t bytes = 0; ///< Sum over the items that read; each reads all its inputs.
 };
 
-/** Bytes that crossed zones. */
+/** Returns the number of bytes read from another zone. */
 std::size_t get_crossed_bytes(const std::vector<result_transfer> &p_transfers);
 
-/** Looks at one request's stage graph. Results are known by handles; a hook tells in which zone one was made. */
+/** Derives transfers from the stage graph of one request. A callback returns the zone in which a result was produced, by its handle. */
 class stage_transfers {
 	using zone_counts = std::map<std::string, std::size_t>;
 
@@ -41,17 +41,17 @@
 	void _add_read(std::vector<result_transfer> &r_transfers, std::size_t p_stage, const std::string &p_reader, const zone_counts &p_readers) const;
 
 public:
-	/** @param p_get_zone zone of the maker of a result, by its handle; empty when it is not known. */
+	/** @param p_get_zone returns the zone of the producer of a result, by its handle; empty when unknown. */
 	stage_transfers(const stage_graph &p_stages, std::function<std::string(const std::string &)> p_get_zone) :
 			_stages(p_stages), _get_zone(std::move(p_get_zone)) {}
 
-	/** Zone in which most of the results were made; empty when there are none. */
+	/** Returns the zone in which most of the results were produced; empty when there are none. */
 	std::string find_makers_zone(const std::vector<std::string> &p_handles) const;
 
-	/** What the pieces of a stage that is done have read. */
+	/** Returns what the items of a completed stage have read. */
 	std::vector<result_transfer> get_inputs_read(std::size_t p_stage) const;
 
-	/** What the service reads when an endpoint of it in a zone gets the request. */
+	/** Returns what the service reads when one of its endpoints in a zone gets the request. */
 	std::vector<result_transfer> get_final_read(const std::string &p_service, const std::string &p_zone) const;
 };
 
--- a/tests/servers/gateway/news_digest_test.cpp
+++ b/tests/servers/gateway/news_digest_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: news_digest_test.cpp
- * What telling prompts costs is bounded, and what is dropped is worth least.
+ * The messages that report prompts are bounded, and the records of least worth are dropped.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -24,7 +24,7 @@
 	return told_prompt{ get_origin_code("n"), { "e", 1 }, { prompt_link{ p_tokens, p_tokens } } };
 }
 
-/** Messages sent at once in ten seconds, of a node that sends prompts at a rate to a number of others. */
+/** Returns the number of messages that a node sends at once in ten seconds, at a rate of prompts and a number of receivers. */
 std::size_t count_at_once(int p_prompts_per_second, std::size_t p_receivers) {
 	news_digest<told_prompt> digest = make_prompt_digest();
 	std::size_t sent = 0;
@@ -45,7 +45,7 @@
 }
 
 TEST(news_digest, messages_are_bounded_whatever_the_load_and_the_fleet) {
-	// Telling each prompt at once would take 450 x 34 = 15,300 messages a second.
+	// Reporting each prompt at once would take 450 x 34 = 15,300 messages a second.
 	EXPECT_LE(count_at_once(450, 34), 200U * 11U);
 }
 
@@ -54,10 +54,10 @@
 	for (std::uint64_t tokens = 1; tokens <= 1000; tokens++) {
 		digest.add(make_prompt(tokens));
 	}
-	const std::vector<told_prompt> told = digest.take();
-	ASSERT_EQ(told.size() + digest.get_dropped(), 1000U);
-	EXPECT_LE(told.size(), 140U);
-	for (const told_prompt &prompt : told) {
+	const std::vector<told_prompt> batch = digest.take();
+	ASSERT_EQ(batch.size() + digest.get_dropped(), 1000U);
+	EXPECT_LE(batch.size(), 140U);
+	for (const told_prompt &prompt : batch) {
 		EXPECT_GT(prompt.prompt.front().tokens, digest.get_dropped());
 	}
 	EXPECT_TRUE(digest.is_empty());
--- a/tests/servers/gateway/pool_shards_test.cpp
+++ b/tests/servers/gateway/pool_shards_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: pool_shards_test.cpp
- * How a large stage pool is split.
+ * Splitting a large stage pool into shards.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
--- a/tests/servers/gateway/stage_pool_search_test.cpp
+++ b/tests/servers/gateway/stage_pool_search_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: stage_pool_search_test.cpp
- * What a dispatcher spends on the search for a call while many works wait.
+ * Cost of the search for a call while many works wait.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -24,17 +24,17 @@
 constexpr int REPLICAS = 41;
 constexpr int ZONES = 5;
 const instant NOW{ seconds(1000) };
-/** When calls of eight pieces are over. */
+/** Time at which calls of eight items have completed. */
 const instant LATER = NOW + milliseconds(150 + 8 * 16);
 
-/** The pool of a fleet of hundreds of nodes in five zones. Counts how often a replica is asked whether it may be sent to. */
+/** Pool of a fleet of hundreds of nodes in five zones. Counts the evaluations of the limit of a replica. */
 class busy_pool {
 	stage_pool _pool;
-	std::uint64_t _asked = 0;
+	std::uint64_t _limit_queries = 0;
 	work_id _next_work = 1;
 
 public:
-	std::map<std::string, std::vector<stage_call>> calls; ///< At work, by zone.
+	std::map<std::string, std::vector<stage_call>> calls; ///< Running calls, by zone.
 
 	busy_pool() {
 		stage_pool_spec spec;
@@ -46,7 +46,7 @@
 		spec.result_ttl = seconds(4);
 		_pool.set_spec(spec);
 		_pool.set_limit([this](const endpoint_identity &, instant) {
-			_asked++;
+			_limit_queries++;
 			return true;
 		});
 		std::vector<endpoint_listing> replicas;
@@ -57,7 +57,7 @@
 			replicas.push_back(listing);
 		}
 		_pool.set_replicas(replicas);
-		// One call at each replica.
+		// Occupies each replica with one call.
 		for (int i = 0; i < REPLICAS; i++) {
 			add("z" + std::to_string(i % ZONES), 8);
 			const std::optional<stage_call> call = _pool.next_call(NOW);
@@ -68,9 +68,9 @@
 	}
 
 	stage_pool &get() { return _pool; }
-	std::uint64_t take_asked() { return std::exchange(_asked, 0); }
+	std::uint64_t take_limit_queries() { return std::exchange(_limit_queries, 0); }
 
-	/** Work whose results cross zones slowly, and that has the time to wait for a replica of its zone. */
+	/** Adds work whose results are large and that has enough time to wait for a replica of its zone. */
 	void add(const std::string &p_zone, std::size_t p_pieces) {
 		stage_work work;
 		work.attempt = std::to_string(_next_work);
@@ -83,12 +83,12 @@
 		_pool.add(_next_work++, std::move(work), NOW);
 	}
 
-	void refuse_one(const std::string &p_zone) {
+	void refuse_call(const std::string &p_zone) {
 		_pool.on_call_ended(calls.at(p_zone).back().id, call_end::REFUSED, {}, LATER);
 		calls.at(p_zone).pop_back();
 	}
 
-	void free_one(const std::string &p_zone) {
+	void complete_call(const std::string &p_zone) {
 		const stage_call call = calls.at(p_zone).back();
 		calls.at(p_zone).pop_back();
 		std::vector<item_result> results;
@@ -101,18 +101,18 @@
 
 } // namespace
 
-// Guards against a dispatcher that has no processor time left under a burst: too little was served (SHORT).
+// Guards against a dispatcher that uses all its processor time for searches during a burst and serves too little (SHORT).
 TEST(stage_pool_search, a_search_asks_each_replica_once_however_many_works_wait) {
 	busy_pool pool;
-	// Less than one round of calls for each zone.
+	// Fewer than fill one call at each replica of a zone.
 	for (int i = 0; i < 240; i++) {
 		pool.add("z" + std::to_string(1 + i % (ZONES - 1)), 1);
 	}
-	pool.free_one("z0");
-	pool.take_asked();
+	pool.complete_call("z0");
+	pool.take_limit_queries();
 	EXPECT_FALSE(pool.get().next_call(LATER)) << "all works wait for replicas of their zone";
-	// Whether any replica is free, and which are the best ones.
-	EXPECT_LE(pool.take_asked(), 2U * REPLICAS);
+	// One evaluation to find whether any replica is free, and one to list the candidates.
+	EXPECT_LE(pool.take_limit_queries(), 2U * REPLICAS);
 }
 
 TEST(stage_pool_search, a_call_that_is_filled_asks_each_replica_once_however_many_works_wait) {
@@ -120,18 +120,18 @@
 	for (int i = 0; i < 500; i++) {
 		pool.add("z" + std::to_string(i % ZONES), 1);
 	}
-	pool.free_one("z0");
-	pool.take_asked();
+	pool.complete_call("z0");
+	pool.take_limit_queries();
 	const std::optional<stage_call> call = pool.get().next_call(LATER);
 	ASSERT_TRUE(call);
 	EXPECT_EQ(call->items.size(), 8U);
-	EXPECT_LE(pool.take_asked(), 2U * REPLICAS);
+	EXPECT_LE(pool.take_limit_queries(), 2U * REPLICAS);
 }
 
-// Guards against searches whose time grows with the square of what waits.
+// Guards against searches whose total time grows with the square of the number of waiting works.
 TEST(stage_pool_search, work_that_comes_after_a_vain_search_is_looked_at_alone) {
 	busy_pool pool;
-	pool.free_one("z0");
+	pool.complete_call("z0");
 	constexpr int WORKS = 240;
 	const std::uint64_t before = pool.get().get_examined();
 	for (int i = 0; i < WORKS; i++) {
@@ -143,7 +143,7 @@
 
 TEST(stage_pool_search, work_that_may_go_anywhere_takes_the_free_replica_after_a_vain_search) {
 	busy_pool pool;
-	pool.free_one("z0");
+	pool.complete_call("z0");
 	pool.add("z1", 1);
 	ASSERT_FALSE(pool.get().next_call(LATER));
 	pool.add("", 1);
@@ -154,16 +154,16 @@
 
 TEST(stage_pool_search, all_works_are_looked_at_again_when_a_call_ends_or_time_passes) {
 	busy_pool pool;
-	pool.free_one("z0");
+	pool.complete_call("z0");
 	pool.add("z1", 1);
 	ASSERT_FALSE(pool.get().next_call(LATER));
-	pool.free_one("z1");
+	pool.complete_call("z1");
 	const std::optional<stage_call> call = pool.get().next_call(LATER);
 	ASSERT_TRUE(call);
 	EXPECT_EQ(call->zone, "z1");
 
-	// A replica that turns a call away is left alone for a moment.
-	pool.refuse_one("z2");
+	// A replica that refuses a call gets none for a short time.
+	pool.refuse_call("z2");
 	ASSERT_FALSE(pool.get().next_call(LATER));
 	EXPECT_TRUE(pool.get().next_call(LATER + milliseconds(70)));
 }
--- a/tests/servers/gateway/stage_restart_test.cpp
+++ b/tests/servers/gateway/stage_restart_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: stage_restart_test.cpp
- * Replicas of a stage pool that start again under their name.
+ * Replicas of a stage pool that restart under the same name.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -23,7 +23,7 @@
 	return instant(seconds(1000) + milliseconds(p_ms));
 }
 
-/** A pool of one replica with one slot and room for one result. */
+/** Pool of one replica with one slot and memory for one result. */
 class stage_restart_test : public ::testing::Test {
 protected:
 	stage_pool _pool;
@@ -58,7 +58,7 @@
 		_pool.add(1, work, at(0));
 	}
 
-	void make(const stage_call &p_call, const std::string &p_handle, int p_at) {
+	void complete_call(const stage_call &p_call, const std::string &p_handle, int p_at) {
 		_pool.on_call_ended(p_call.id, call_end::ANSWERED, { item_result{ item_end::DONE, p_handle } }, at(p_at));
 	}
 };
@@ -84,7 +84,7 @@
 	_pool.tick([] { return true; }, at(30));
 	const std::optional<stage_call> again = _pool.next_call(at(30));
 	ASSERT_TRUE(again);
-	make(*again, "10.0.0.1:80/a", 130);
+	complete_call(*again, "10.0.0.1:80/a", 130);
 	const std::vector<work_result> ended = _pool.take_ended();
 	ASSERT_EQ(ended.size(), 1U);
 	EXPECT_EQ(ended[0].end, work_end::DONE);
@@ -105,7 +105,7 @@
 	add_work(2);
 	const std::optional<stage_call> first = _pool.next_call(at(0));
 	ASSERT_TRUE(first);
-	make(*first, "10.0.0.1:80/a", 100);
+	complete_call(*first, "10.0.0.1:80/a", 100);
 	EXPECT_FALSE(_pool.next_call(at(110))) << "there is no room for a second result";
 	start_replica(2);
 	const std::optional<stage_call> again = _pool.next_call(at(120));
