--- a/servers/gateway/read_schedule.cpp
+++ b/servers/gateway/read_schedule.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: read_schedule.cpp
- * Decides when a topic of the store is read again, and how.
+ * Schedules the reads of one topic of the store.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -14,10 +14,10 @@
 
 namespace {
 
-/** Each read that waits in vain holds a connection until it times out; the calls that a silent store costs are bounded so. */
-constexpr int MOST_OPEN_READS = 4;
-/** Times between reads double up to here. */
-constexpr int MOST_DOUBLINGS = 4;
+/** Each unanswered read occupies a connection until it times out, so this bounds the reads that a silent store causes. */
+constexpr int MAX_OPEN_READS = 4;
+/** Maximum number of times that the time between reads doubles. */
+constexpr int MAX_DOUBLINGS = 4;
 
 } // namespace
 
@@ -25,10 +25,10 @@
 	_open++;
 	planned_read read;
 	read.reading = _reading;
-	const bool is_trusted = p_is_first && _is_heard;
-	read.wait = is_trusted ? _times.wait : duration::zero();
-	read.on_new_connection = !is_trusted;
-	read.check_in = is_trusted ? _times.wait + _times.overdue : get_repeat();
+	const bool is_normal_read = p_is_first && _is_responsive;
+	read.wait = is_normal_read ? _times.wait : duration::zero();
+	read.on_new_connection = !is_normal_read;
+	read.check_in = is_normal_read ? _times.wait + _times.overdue : get_repeat();
 	return read;
 }
 
@@ -48,8 +48,8 @@
 	if (_open == 0) {
 		return begin();
 	}
-	_is_heard = false;
-	if (_open >= MOST_OPEN_READS) {
+	_is_responsive = false;
+	if (_open >= MAX_OPEN_READS) {
 		return std::nullopt;
 	}
 	_repeats++;
@@ -62,37 +62,37 @@
 	}
 	_reading++;
 	_open = 0;
-	_is_heard = true;
+	_is_responsive = true;
 	_failures = 0;
 	_repeats = 0;
 	return true;
 }
 
-duration read_schedule::_space_out(duration p_first, int p_count) const {
-	if (!_is_patient || p_count == 0) {
+duration read_schedule::_apply_backoff(duration p_first, int p_count) const {
+	if (!_has_peer_reader || p_count == 0) {
 		return p_first;
 	}
-	const duration doubled = p_first * (1 << std::min(p_count - 1, MOST_DOUBLINGS));
+	const duration doubled = p_first * (1 << std::min(p_count - 1, MAX_DOUBLINGS));
 	return std::clamp(doubled, p_first, std::max(p_first, _times.longest_retry));
 }
 
 duration read_schedule::get_first_wait(duration p_since_start) const {
-	const duration wait = _times.first_wait + _times.place_step * static_cast<duration::rep>(_place);
-	return _is_patient ? std::max(duration::zero(), wait - p_since_start) : duration::zero();
+	const duration wait = _times.first_wait + _times.place_step * static_cast<duration::rep>(_read_position);
+	return _has_peer_reader ? std::max(duration::zero(), wait - p_since_start) : duration::zero();
 }
 
 duration read_schedule::get_retry() const {
-	return _space_out(_times.retry, _failures);
+	return _apply_backoff(_times.retry, _failures);
 }
 
 duration read_schedule::get_repeat() const {
-	return _space_out(_times.repeat, _repeats);
+	return _apply_backoff(_times.repeat, _repeats);
 }
 
 void read_schedule::abandon() {
 	_reading++;
 	_open = 0;
-	// Others were answered, so what fails or is silent next is another outage.
+	// A peer was answered, so the next failure or silence belongs to another outage.
 	_failures = 0;
 	_repeats = 0;
 }
@@ -102,7 +102,7 @@
 		return false;
 	}
 	_open--;
-	_is_heard = false;
+	_is_responsive = false;
 	_failures++;
 	return true;
 }
--- a/servers/gateway/read_schedule.h
+++ b/servers/gateway/read_schedule.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: read_schedule.h
- * Decides when a topic of the store is read again, and how.
+ * Schedules the reads of one topic of the store.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -16,95 +16,100 @@
 
 namespace calicoscale {
 
-/** Times of reading one topic. */
+/** Times for the reads of one topic. */
 struct read_times {
-	duration wait{}; ///< A read waits this long at the store for the next record; zero for reads that are answered at once.
-	duration overdue{}; ///< An answer that takes longer than this beyond the wait may never come: another read is sent beside it.
-	duration repeat{}; ///< Between the further reads that are sent beside it.
-	duration retry{}; ///< From the failure of the last open read to the next one.
-	duration longest_retry{}; ///< Both of them after a while, for nodes that leave the reading to a peer; zero is no longer than at first.
-	duration first_wait{}; ///< From the start, in which a node for which a peer reads is told by it rather than reading the whole topic too; zero for none.
-	duration place_step{}; ///< Longer for each place in the order in which nodes read while nobody tells them.
+	duration wait{}; ///< How long a read waits at the store for the next record; zero for reads that are answered at once.
+	duration overdue{}; ///< Time beyond the wait after which an answer may never arrive and an additional read is sent.
+	duration repeat{}; ///< Time between additional reads.
+	duration retry{}; ///< Time from the failure of the last open read to the next read.
+	duration longest_retry{}; ///< Upper bound to which repeat and retry grow on nodes for which a peer reads; zero disables the growth.
+	duration first_wait{}; ///< Time from the start of a node in which it expects the topic from the peer that reads for it, instead of reading the whole topic too; zero for none.
+	duration place_step{}; ///< Added to first_wait for each position in the order in which nodes begin to read when no peer sends them the topic.
 };
 
-/** One read to be sent. */
+/** One read to send. */
 struct planned_read {
-	std::uint64_t reading = 0; ///< Which reading it belongs to.
-	duration wait{}; ///< For the next record, at the store.
-	bool on_new_connection = false; ///< Kept connections may be as dead as the one that is silent.
-	duration check_in{}; ///< When to ask the schedule again if no answer has come.
+	std::uint64_t reading = 0; ///< Reading that it belongs to; see read_schedule.
+	duration wait{}; ///< How long it waits at the store for the next record.
+	bool on_new_connection = false; ///< Idle connections may be as broken as the one that does not answer.
+	duration check_in{}; ///< Time after which to call read_schedule::check() if no answer has arrived.
 };
 
 /**
- * A waiting read is silent when nothing has changed and when its connection is dead, so its silence counts only as long as
- * it was told to wait. Beyond that reads that do not wait are sent beside it, on new connections, until one is answered.
- * A reading is the set of reads until an answer comes; what comes later of earlier readings does not count.
+ * Schedules the reads of one topic. A waiting read gets no answer both when nothing has changed and when its connection is
+ * broken, so a missing answer is normal only for the time of the wait. After it, additional reads that do not wait are sent
+ * on new connections until one is answered.
+ *
+ * A reading is a series of reads that ends with the first answer; later answers and failures of its reads are ignored.
  */
 class read_schedule {
 	const read_times _times;
-	std::size_t _place = 0;
+	std::size_t _read_position = 0;
 	std::uint64_t _reading = 0;
-	int _open = 0; ///< Reads of this reading without an answer.
-	int _failures = 0; ///< Without an answer between them.
-	int _repeats = 0; ///< Reads sent beside others since the last answer.
-	bool _is_patient = false; ///< A peer reads for this node as soon as it can.
-	bool _is_heard = true; ///< The store answered the last reading, and the open one is not overdue.
+	int _open = 0; ///< Open reads of the current reading.
+	int _failures = 0; ///< Failed reads since the last answer.
+	int _repeats = 0; ///< Additional reads since the last answer.
+	bool _has_peer_reader = false; ///< A peer reads for this node as soon as the store answers the peer.
+	bool _is_responsive = true; ///< The store answered the last reading, and the current one is not overdue.
 
 	planned_read _plan(bool p_is_first);
-	duration _space_out(duration p_first, int p_count) const;
+	duration _apply_backoff(duration p_first, int p_count) const;
 
 public:
 	explicit read_schedule(const read_times &p_times) :
 			_times(p_times) {}
 
-	/** Begins a reading, whatever is still open of the one before. */
+	/** Begins a reading; open reads of the previous one are ignored. */
 	planned_read begin();
 
-	/** Begins a reading that does not wait, on a new connection: this node was away, and what is open may be dead or old. */
+	/** Begins a reading that does not wait, on a new connection. For use after a process stall, when open connections may be broken and their answers outdated. */
 	planned_read begin_after_absence();
 
-	/** The time that the last read named has passed without an answer. Empty while as many are open as may be. */
+	/** Returns the next read once the check_in time of the last one has passed without an answer; empty while the maximum number of reads is open. */
 	std::optional<planned_read> check();
 
-	/** A read was answered. False if it belongs to an earlier reading. */
+	/** Records the answer to a read. Returns false if the read belongs to an earlier reading. */
 	bool on_answered(std::uint64_t p_reading);
 
-	/** A read ended without an answer. False if it belongs to an earlier reading. */
+	/** Records that a read ended without an answer. Returns false if the read belongs to an earlier reading. */
 	bool on_failed(std::uint64_t p_reading);
 
-	/** Answers to what is open are not waited for any more, as it became known otherwise. */
+	/** Ends the current reading because the topic was received from a peer. */
 	void abandon();
 
-	/** Whether the store answered the last reading, and the open one is not overdue. True before the first. */
-	bool is_heard() const { return _is_heard; }
+	/** Returns whether the store answered the last reading and the current one is not overdue. True before the first reading. */
+	bool is_heard() const { return _is_responsive; }
 
-	/** Whether an answer may still come. */
+	/** Returns whether a read is open. */
 	bool is_reading() const { return _open > 0; }
 
-	/** Whether an answer to this reading may still come. */
+	/** Returns whether a read of this reading is open. */
 	bool is_open(std::uint64_t p_reading) const { return _open > 0 && p_reading == _reading; }
 
-	/** Whether another node reads for this one. */
-	bool is_patient() const { return _is_patient; }
+	/** Returns whether a peer reads for this node. */
+	bool is_patient() const { return _has_peer_reader; }
 
-	/** Place of this node in the order in which nodes read for the first time. */
-	void set_place(std::size_t p_place) { _place = p_place; }
+	/** Sets the position of this node in the order in which nodes read for the first time. */
+	void set_place(std::size_t p_position) { _read_position = p_position; }
 
-	/** How long the first reading is left to a peer. @param p_since_start how long ago this node started. */
+	/**
+	 * Returns the remaining time in which the first reading is left to a peer.
+	 * @param p_since_start time since the start of this node.
+	 */
 	duration get_first_wait(duration p_since_start) const;
 
 	/**
-	 * Whether a peer reads for this node as soon as the store answers it. Then failures space out the retries: 86
-	 * nodes whose store was away for 6.5 s made 3,748 and 3,899 calls without it, 2,353 and 2,350 with it (one replay, two seeds).
-	 * Silence spaces out the reads beside silent ones in the same way: a node asks 23 times for its endpoints in nine
-	 * seconds without it, 11 times with it (read_schedule_test).
+	 * Sets whether a peer reads for this node as soon as the store answers the peer. If so, the time between retries doubles
+	 * with each failure: 86 nodes whose store was unavailable for 6.5 s sent 2,353 and 2,350 requests instead of 3,748 and
+	 * 3,899 (two seeds). The time between additional reads grows in the same way: while the store is silent for nine
+	 * seconds, a node requests its endpoints 11 times instead of 23 times.
 	 */
-	void set_patient(bool p_is_patient) { _is_patient = p_is_patient; }
+	void set_patient(bool p_has_peer_reader) { _has_peer_reader = p_has_peer_reader; }
 
-	/** From a failure to the next read. */
+	/** Returns the time from a failure to the next read. */
 	duration get_retry() const;
 
-	/** From a read without an answer to the one beside it. */
+	/** Returns the time from an unanswered read to the next additional one. */
 	duration get_repeat() const;
 };
 
--- a/servers/gateway/rejection_notes.cpp
+++ b/servers/gateway/rejection_notes.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: rejection_notes.cpp
- * Which rejected records are worth a line of the log.
+ * Selects the rejected records that are logged.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -11,18 +11,18 @@
 namespace calicoscale {
 
 bool rejection_notes::is_news(const std::string &p_key, entry_fault p_fault, instant p_now) {
-	const auto found = _told.find(p_key);
-	if (found != _told.end() && found->second == p_fault) {
+	const auto found = _logged_faults.find(p_key);
+	if (found != _logged_faults.end() && found->second == p_fault) {
 		return false;
 	}
-	if (!_lines.try_take(1.0, p_now)) {
-		_untold++;
+	if (!_log_rate.try_take(1.0, p_now)) {
+		_suppressed++;
 		return false;
 	}
-	if (_told.size() >= MOST_KEYS) {
-		_told.clear();
+	if (_logged_faults.size() >= MOST_KEYS) {
+		_logged_faults.clear();
 	}
-	_told[p_key] = p_fault;
+	_logged_faults[p_key] = p_fault;
 	return true;
 }
 
--- a/servers/gateway/retry_window.cpp
+++ b/servers/gateway/retry_window.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: retry_window.cpp
- * Bounds the repeats of all nodes at one service by a sliding window.
+ * Limits the repeated sends of all nodes to one service within a sliding window.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -14,8 +14,8 @@
 
 namespace {
 
-/** Part of the bounds that is used; the rest covers restarts and views that differ. */
-constexpr double USED_PART = 0.6;
+/** Share of the limits that is used; the remainder covers restarts and nodes whose views of the fleet differ. */
+constexpr double USED_SHARE = 0.6;
 constexpr long BUCKETS_PER_WINDOW = 10;
 
 long get_index(const retry_bounds &p_bounds, instant p_now) {
@@ -48,7 +48,7 @@
 		}
 	}
 	const double nodes = static_cast<double>(std::max<std::size_t>(1, p_nodes));
-	if (repeats + 1.0 > USED_PART * (p_bounds.ratio * requests + p_bounds.slack / nodes)) {
+	if (repeats + 1.0 > USED_SHARE * (p_bounds.ratio * requests + p_bounds.slack / nodes)) {
 		return false;
 	}
 	_get_bucket(p_bounds, p_now).repeats += 1.0;
--- a/servers/gateway/retry_window.h
+++ b/servers/gateway/retry_window.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: retry_window.h
- * Bounds the repeats of all nodes at one service by a sliding window.
+ * Limits the repeated sends of all nodes to one service within a sliding window.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -16,16 +16,16 @@
 
 namespace calicoscale {
 
-/** Bounds on repeated sends that hold for all nodes together. */
+/** Limits on repeated sends that apply to all nodes together. */
 struct retry_bounds {
-	double ratio = 0.2; ///< Repeats for each request.
-	double slack = 50.0; ///< Repeats in a window beyond the ratio, all nodes together.
+	double ratio = 0.2; ///< Repeats per request.
+	double slack = 50.0; ///< Repeats in a window in addition to the ratio, all nodes together.
 	duration window = std::chrono::seconds(10);
 };
 
 /**
- * Counts requests and repeats at one service in buckets of a tenth of the window. A node spends only its part of the
- * slack, and only part of the ratio, as nodes that died have spent some that nobody remembers.
+ * Counts requests and repeats to one service in buckets of a tenth of the window. A node uses only its share of the slack
+ * and not all of the ratio, because the repeats of nodes that crashed are no longer counted by any node.
  */
 class retry_window {
 	static constexpr std::size_t BUCKETS = 12;
@@ -41,10 +41,13 @@
 	bucket &_get_bucket(const retry_bounds &p_bounds, instant p_now);
 
 public:
-	/** A request for the service came in. */
+	/** Counts a request for the service. */
 	void on_request(const retry_bounds &p_bounds, instant p_now);
 
-	/** Takes the right to send once more; false when the window's is used up. @param p_nodes live nodes that share the bounds. */
+	/**
+	 * Counts a repeat and returns true if the limit of the window allows it.
+	 * @param p_nodes number of live nodes that share the limits.
+	 */
 	bool try_repeat(const retry_bounds &p_bounds, std::size_t p_nodes, instant p_now);
 };
 
--- a/servers/gateway/stage_times.cpp
+++ b/servers/gateway/stage_times.cpp
@@ -33,12 +33,12 @@
 	return p_spec.call_time + p_spec.piece_time * static_cast<duration::rep>(shared);
 }
 
-std::vector<duration> get_times_after(const gateway_configuration &p_configuration, const gateway_route &p_route, const std::vector<std::size_t> &p_items) {
+std::vector<duration> get_times_after(const gateway_configuration &p_configuration, const gateway_route &p_route, const std::vector<std::size_t> &p_item_counts) {
 	const std::vector<stage_spec> &stages = p_route.stages;
 	std::vector<duration> after(stages.size(), duration::zero());
 	// The inputs of a stage precede it, so in reverse order the time after a stage is final when its inputs are updated.
 	for (std::size_t i = stages.size(); i-- > 0;) {
-		const std::size_t items = i < p_items.size() ? p_items[i] : 0;
+		const std::size_t items = i < p_item_counts.size() ? p_item_counts[i] : 0;
 		const duration from_start = after[i] + get_stage_time(p_configuration, stages[i], items);
 		for (const std::size_t input : stages[i].inputs) {
 			after[input] = std::max(after[input], from_start);
--- a/servers/gateway/told_prompt.cpp
+++ b/servers/gateway/told_prompt.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: told_prompt.cpp
- * A prompt that a node sent to an engine, as nodes tell each other.
+ * A prompt that a node sent to an engine, as reported to other nodes.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -14,8 +14,8 @@
 
 namespace {
 
-/** Prompts in a message; about 32 bytes each, so that five a second take 22 KB/s. */
-constexpr std::size_t MOST_PROMPTS = 140;
+/** Maximum number of prompts in a message. At about 32 bytes each, five messages a second take 22 KB/s. */
+constexpr std::size_t MAX_PROMPTS = 140;
 
 double count_tokens(const told_prompt &p_prompt) {
 	std::uint64_t tokens = 0;
@@ -32,7 +32,7 @@
 }
 
 news_digest<told_prompt> make_prompt_digest() {
-	return news_digest<told_prompt>(MOST_PROMPTS, &count_tokens);
+	return news_digest<told_prompt>(MAX_PROMPTS, &count_tokens);
 }
 
 } // namespace calicoscale
--- a/servers/gateway/told_prompt.h
+++ b/servers/gateway/told_prompt.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: told_prompt.h
- * A prompt that a node sent to an engine, as nodes tell each other.
+ * A prompt that a node sent to an engine, as reported to other nodes.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -20,15 +20,15 @@
 
 /** A prompt that a node sent to an engine. */
 struct told_prompt {
-	std::uint32_t origin = 0; ///< Code of the node that sent it; see get_origin_code().
+	std::uint32_t origin = 0; ///< Code of the node that sent it to the engine; see get_origin_code().
 	endpoint_identity engine;
 	std::vector<prompt_link> prompt;
 };
 
-/** Short code of a node's name, so that a node knows its own prompts when they come back. */
+/** Returns a short hash of a node's name, by which a node recognizes its own prompts when a peer forwards them to it. */
 std::uint32_t get_origin_code(std::string_view p_vm);
 
-/** Prompts still to be told; the shortest are dropped first, as knowing of them saves others least. */
+/** Creates the batch of prompts to report. The shortest are dropped first, because knowing them saves other nodes the least work. */
 news_digest<told_prompt> make_prompt_digest();
 
 } // namespace calicoscale
--- a/servers/gateway/waiting_line.h
+++ b/servers/gateway/waiting_line.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: waiting_line.h
- * Requests that were admitted and not sent to an endpoint yet, in the order of their admission.
+ * Requests that are admitted but not yet sent to an endpoint, in the order of their admission.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,34 +18,34 @@
 
 namespace calicoscale {
 
-/** Place of a request in a waiting line; later ones are higher. */
+/** Position of a request in the order of admission; later requests have higher values. */
 using line_place = std::uint64_t;
 
-/** One line for each service. */
+/** One queue for each service. */
 class waiting_line {
-	std::map<std::string, std::set<line_place>> _lines;
+	std::map<std::string, std::set<line_place>> _queues;
 	line_place _next = 1;
 
 public:
-	/** A request for a service was admitted. */
+	/** Adds a request that was admitted for a service. */
 	line_place join(const std::string &p_service) {
-		_lines[p_service].insert(_next);
+		_queues[p_service].insert(_next);
 		return _next++;
 	}
 
-	/** It was sent, or has ended. A second call does nothing. */
-	void leave(const std::string &p_service, line_place p_place) { _lines[p_service].erase(p_place); }
+	/** Removes a request that was sent or has ended. A second call has no effect. */
+	void leave(const std::string &p_service, line_place p_ticket) { _queues[p_service].erase(p_ticket); }
 
-	/** How many requests for a service were admitted before a place and wait still. */
-	std::size_t count_before(const std::string &p_service, line_place p_place) const {
-		const auto line = _lines.find(p_service);
-		return line == _lines.end() ? 0 : static_cast<std::size_t>(std::distance(line->second.begin(), line->second.lower_bound(p_place)));
+	/** Returns the number of waiting requests for a service that were admitted before a position. */
+	std::size_t count_before(const std::string &p_service, line_place p_ticket) const {
+		const auto queue = _queues.find(p_service);
+		return queue == _queues.end() ? 0 : static_cast<std::size_t>(std::distance(queue->second.begin(), queue->second.lower_bound(p_ticket)));
 	}
 
-	/** How many requests for a service wait. */
+	/** Returns the number of waiting requests for a service. */
 	std::size_t count(const std::string &p_service) const {
-		const auto line = _lines.find(p_service);
-		return line == _lines.end() ? 0 : line->second.size();
+		const auto queue = _queues.find(p_service);
+		return queue == _queues.end() ? 0 : queue->second.size();
 	}
 };
 
--- a/servers/gateway/zone_reach.cpp
+++ b/servers/gateway/zone_reach.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: zone_reach.cpp
- * Which availability zones this node reaches just now.
+ * Detects which availability zones this node can reach.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -14,16 +14,16 @@
 
 namespace {
 
-/** Two heartbeats of all nodes of a zone missed, and some delay. */
-constexpr duration ZONE_SILENCE = std::chrono::milliseconds(450);
-/** A longer gap between checks means that this process stood still and heard nobody. */
-constexpr duration PAUSE = std::chrono::milliseconds(250);
+/** Time in which two heartbeats of all nodes of a zone are missed, and some delay. */
+constexpr duration ZONE_TIMEOUT = std::chrono::milliseconds(450);
+/** A longer gap between checks means that this process stalled and received nothing. */
+constexpr duration MAX_CHECK_GAP = std::chrono::milliseconds(250);
 
 } // namespace
 
 bool zone_reach::_is_silent(const zone_state &p_state, instant p_now) {
-	const instant heard_at = std::max(p_state.node_heard_at, p_state.endpoint_heard_at);
-	return p_state.node_heard_at != instant{} && p_now - heard_at >= ZONE_SILENCE;
+	const instant last_contact_at = std::max(p_state.node_heard_at, p_state.endpoint_heard_at);
+	return p_state.node_heard_at != instant{} && p_now - last_contact_at >= ZONE_TIMEOUT;
 }
 
 void zone_reach::on_node_heard(const std::string &p_zone, instant p_now) {
@@ -40,17 +40,17 @@
 }
 
 std::vector<zone_reach::change> zone_reach::check(instant p_now) {
-	const bool was_paused = _checked_at != instant{} && p_now - _checked_at > PAUSE;
+	const bool was_stalled = _checked_at != instant{} && p_now - _checked_at > MAX_CHECK_GAP;
 	_checked_at = p_now;
 	std::vector<change> changes;
 	for (auto &[zone, state] : _zones) {
-		if (was_paused && state.was_reached && state.node_heard_at != instant{}) {
+		if (was_stalled && state.was_reachable && state.node_heard_at != instant{}) {
 			state.node_heard_at = p_now;
 		}
-		const bool is_reached_now = is_reached(zone, p_now);
-		if (is_reached_now != state.was_reached) {
-			state.was_reached = is_reached_now;
-			changes.push_back(change{ zone, is_reached_now });
+		const bool is_reachable_now = is_reached(zone, p_now);
+		if (is_reachable_now != state.was_reachable) {
+			state.was_reachable = is_reachable_now;
+			changes.push_back(change{ zone, is_reachable_now });
 		}
 	}
 	return changes;
@@ -59,7 +59,7 @@
 std::set<std::string> zone_reach::get_unreached() const {
 	std::set<std::string> zones;
 	for (const auto &[zone, state] : _zones) {
-		if (!state.was_reached) {
+		if (!state.was_reachable) {
 			zones.insert(zone);
 		}
 	}
--- a/servers/gateway/zone_reach.h
+++ b/servers/gateway/zone_reach.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: zone_reach.h
- * Which availability zones this node reaches just now.
+ * Detects which availability zones this node can reach.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -19,18 +19,18 @@
 namespace calicoscale {
 
 /**
- * Believes that another zone is cut off when all its nodes and all its endpoints are silent at the same time; a single
- * node or endpoint needs longer to be taken for lost. Any byte from the zone ends the belief. This node's own zone is
- * always reached. Told the time with each call.
+ * Takes another zone as unreachable when all its nodes and all its endpoints are silent at the same time. The time-out is
+ * shorter than the one after which a single node or endpoint counts as failed. Any byte from the zone makes it reachable
+ * again. The own zone of this node is always reachable. The caller passes the current time.
  *
- * Without it the endpoints of one cut-off zone of three get a third of the sends for two seconds, until each connection
- * to them has timed out.
+ * Without this check, when one of three zones is unreachable its endpoints get a third of the sends for two seconds, until
+ * each connection to them has timed out.
  */
 class zone_reach {
 	struct zone_state {
-		instant node_heard_at{}; ///< Last sign of any node there.
-		instant endpoint_heard_at{}; ///< Last byte from any endpoint there.
-		bool was_reached = true;
+		instant node_heard_at{}; ///< Time of the last message from any node there.
+		instant endpoint_heard_at{}; ///< Time of the last byte from any endpoint there.
+		bool was_reachable = true;
 	};
 
 	std::string _own_zone;
@@ -40,7 +40,7 @@
 	static bool _is_silent(const zone_state &p_state, instant p_now);
 
 public:
-	/** A change of belief. */
+	/** A zone that became reachable or unreachable. */
 	struct change {
 		std::string zone;
 		bool is_reached = true;
@@ -49,19 +49,19 @@
 	explicit zone_reach(std::string p_own_zone) :
 			_own_zone(std::move(p_own_zone)) {}
 
-	/** A node of a zone was heard. */
+	/** Records a message from a node of a zone. */
 	void on_node_heard(const std::string &p_zone, instant p_now);
 
-	/** Bytes or a new connection came from an endpoint of a zone. */
+	/** Records bytes or a new connection from an endpoint of a zone. */
 	void on_endpoint_heard(const std::string &p_zone, instant p_now);
 
-	/** Whether the zone is reached, as far as is known; a zone of which no node was ever heard is. */
+	/** Returns whether a zone is reachable as far as known; a zone from which no node message was ever received counts as reachable. */
 	bool is_reached(const std::string &p_zone, instant p_now) const;
 
-	/** Zones that were cut off at the last check. */
+	/** Returns the zones that were unreachable at the last check. */
 	std::set<std::string> get_unreached() const;
 
-	/** What changed since the last call. To be called often: after a gap this process stood still and starts to listen anew. */
+	/** Returns the changes since the last call. Must be called often: a gap between calls counts as a process stall, after which the silence of each zone is measured anew. */
 	std::vector<change> check(instant p_now);
 };
 
--- a/tests/servers/gateway/pool_shards_test.cpp
+++ b/tests/servers/gateway/pool_shards_test.cpp
@@ -22,7 +22,7 @@
 	EXPECT_EQ(count_shards(64), 2U);
 	EXPECT_EQ(count_shards(127), 2U);
 	EXPECT_EQ(count_shards(333), 8U);
-	EXPECT_EQ(make_shard_name(pool_shard{ "pool", 0, 1 }), "pool") << "as nodes of a version without shards call it";
+	EXPECT_EQ(make_shard_name(pool_shard{ "pool", 0, 1 }), "pool") << "the name that nodes of a version without shards use";
 }
 
 TEST(pool_shards, each_replica_belongs_to_one_shard_and_none_is_empty) {
--- a/tests/servers/gateway/regions_test.cpp
+++ b/tests/servers/gateway/regions_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: regions_test.cpp
- * Work and results of two regions.
+ * Placement of work and results in two regions.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -43,7 +43,7 @@
 	pool.set_spec(stage_pool_spec{ .slots = 1, .batch = 4, .call_time = milliseconds(150), .piece_time = milliseconds(10), .room_bytes = 1e9, .result_ttl = seconds(4) });
 	pool.set_regions(REGIONS);
 	pool.set_replicas({ make_replica("near", "a2"), make_replica("far", "b1") });
-	// The near one is somewhat slower, by less than the way to the other region costs.
+	// The near replica is slower, but by less than the penalty for the other region.
 	pool.on_pace_told(endpoint_identity{ "near", 0 }, 1.9, START);
 	stage_work work;
 	work.attempt = "r";
--- a/tests/servers/gateway/result_room_test.cpp
+++ b/tests/servers/gateway/result_room_test.cpp
@@ -77,7 +77,7 @@
 		meter.tick(spec, 20, at(now));
 	}
 	ASSERT_TRUE(meter.get_capacity());
-	EXPECT_NEAR(*meter.get_capacity(), 2.0, 0.3) << "ten pieces cost 0.2 s of a replica and are made in 0.1 s";
+	EXPECT_NEAR(*meter.get_capacity(), 2.0, 0.3) << "ten items take 0.2 s of a replica and complete in 0.1 s";
 	for (int now = 1100; now <= 2000; now += 100) {
 		meter.tick(spec, 0, at(now));
 	}
--- a/tests/servers/gateway/stage_pool_test.cpp
+++ b/tests/servers/gateway/stage_pool_test.cpp
@@ -121,7 +121,7 @@
 		order.push_back(call.items.front().work);
 		_pool.on_call_ended(call.id, call_end::ANSWERED, make_results(call, "b:1"), at(milliseconds(offset)));
 	}
-	EXPECT_EQ(order, (std::vector<work_id>{ 1, 2, 3, 4 })) << "what nothing was spent on goes last";
+	EXPECT_EQ(order, (std::vector<work_id>{ 1, 2, 3, 4 })) << "late work without inputs or results is last";
 }
 
 TEST_F(stage_pool_test, a_lost_answer_does_not_take_the_replica_for_good) {
@@ -131,7 +131,7 @@
 	_pool.tick(MAY_REPEAT, at(milliseconds(1000)));
 	ASSERT_EQ(_pool.get_overdue(at(milliseconds(1500))), std::vector<std::uint64_t>{ lost.id });
 	_pool.on_call_ended(lost.id, call_end::BROKEN, {}, at(milliseconds(1500)));
-	EXPECT_FALSE(_pool.next_call(at(milliseconds(1501)))) << "it failed just now";
+	EXPECT_FALSE(_pool.next_call(at(milliseconds(1501)))) << "the replica is blocked after the failure";
 	EXPECT_EQ(expect_call(milliseconds(1900)).items.front().work, 1U);
 }
 
@@ -214,9 +214,9 @@
 	const stage_call good = expect_call(now);
 	EXPECT_NE(good.replica.vm, slow);
 	_pool.add(8, make_work(1, at(now + milliseconds(2000))), at(now));
-	EXPECT_FALSE(_pool.next_call(at(now + milliseconds(1)))) << "waiting for the good one is quicker";
+	EXPECT_FALSE(_pool.next_call(at(now + milliseconds(1)))) << "waiting for the fast replica takes less time";
 	now += milliseconds(20000);
-	EXPECT_NEAR(_pool.get_capacity(at(now)), 2.0, 0.1) << "slowness is forgotten with time";
+	EXPECT_NEAR(_pool.get_capacity(at(now)), 2.0, 0.1) << "the slowdown factor decays over time";
 }
 
 TEST_F(stage_pool_test, input_that_is_gone_ends_the_work_and_its_results_are_released) {
@@ -273,9 +273,9 @@
 		results[i] = item_result{ item_end::NO_ROOM, "" };
 	}
 	_pool.on_call_ended(first.id, call_end::ANSWERED, results, at(milliseconds(200)));
-	EXPECT_FALSE(_pool.next_call(at(milliseconds(400)))) << "six results of somebody else fill the rest";
+	EXPECT_FALSE(_pool.next_call(at(milliseconds(400)))) << "six unknown results fill the remaining capacity";
 	const stage_call second = expect_call(milliseconds(2300));
-	EXPECT_EQ(second.items.size(), 3U) << "half of their time to live is over";
+	EXPECT_EQ(second.items.size(), 3U) << "half of their time to live has passed";
 }
 
 TEST_F(stage_pool_test, results_that_others_hold_take_room_until_they_are_released_or_their_holder_is_lost) {
@@ -289,7 +289,7 @@
 	work.result_bytes = 1;
 	_pool.add(1, work, at(milliseconds(10)));
 	const stage_call first = expect_call(milliseconds(10));
-	EXPECT_EQ(first.items.size(), 2U) << "told twice counts once";
+	EXPECT_EQ(first.items.size(), 2U) << "a result reported twice counts once";
 	_pool.on_call_ended(first.id, call_end::ANSWERED, make_results(first, "e1:1"), at(milliseconds(200)));
 	EXPECT_FALSE(_pool.next_call(at(milliseconds(210))));
 	EXPECT_EQ(_pool.get_results_of("n1"), (std::vector<std::string>{ "e1:1/a", "e1:1/b" }));
@@ -307,7 +307,7 @@
 	_pool.add(1, large, at(milliseconds(0)));
 	EXPECT_EQ(expect_call(milliseconds(0)).replica.vm, "near");
 	_pool.add(2, large, at(milliseconds(10)));
-	EXPECT_FALSE(_pool.next_call(at(milliseconds(10)))) << "the near one is free soon";
+	EXPECT_FALSE(_pool.next_call(at(milliseconds(10)))) << "the near replica will be free soon";
 	stage_work urgent = large;
 	urgent.due_at = at(milliseconds(180));
 	_pool.add(3, urgent, at(milliseconds(10)));
--- a/tests/servers/gateway/stage_restart_test.cpp
+++ b/tests/servers/gateway/stage_restart_test.cpp
@@ -74,7 +74,7 @@
 	ASSERT_TRUE(call);
 	EXPECT_EQ(call->replica, (endpoint_identity{ "e", 2 }));
 	_pool.on_call_ended(lost->id, call_end::BROKEN, {}, at(20));
-	EXPECT_FALSE(_pool.next_call(at(30))) << "the later start has one slot, which is taken";
+	EXPECT_FALSE(_pool.next_call(at(30))) << "the only slot of the later incarnation is in use";
 }
 
 TEST_F(stage_restart_test, a_call_at_the_earlier_start_is_made_again_at_once) {
@@ -106,11 +106,11 @@
 	const std::optional<stage_call> first = _pool.next_call(at(0));
 	ASSERT_TRUE(first);
 	complete_call(*first, "10.0.0.1:80/a", 100);
-	EXPECT_FALSE(_pool.next_call(at(110))) << "there is no room for a second result";
+	EXPECT_FALSE(_pool.next_call(at(110))) << "there is no memory for a second result";
 	start_replica(2);
 	const std::optional<stage_call> again = _pool.next_call(at(120));
-	ASSERT_TRUE(again) << "the room is free";
-	EXPECT_EQ(again->items[0].piece, 0U) << "which was made and is lost";
+	ASSERT_TRUE(again) << "the memory is free";
+	EXPECT_EQ(again->items[0].piece, 0U) << "its result was lost";
 	EXPECT_EQ(_pool.get_waiting_pieces(), 1U);
 	EXPECT_EQ(_pool.take_unwanted(), (std::vector<std::string>{ "10.0.0.1:80/a" }));
 	EXPECT_TRUE(_pool.take_ended().empty());
@@ -124,7 +124,7 @@
 	ASSERT_TRUE(call);
 	_pool.on_call_ended(call->id, call_end::REFUSED, {}, at(10));
 	_pool.on_results_told("n", { held_result{ "10.0.0.1:80/b", ADDRESS, 2, 100.0 } }, at(10));
-	EXPECT_FALSE(_pool.next_call(at(200))) << "its own result does";
+	EXPECT_FALSE(_pool.next_call(at(200))) << "the result of the later incarnation occupies the memory";
 }
 
 } // namespace calicoscale
--- a/tests/servers/gateway/zone_reach_test.cpp
+++ b/tests/servers/gateway/zone_reach_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: zone_reach_test.cpp
- * When a zone is taken for cut off and when it is not.
+ * Detection of unreachable zones.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -24,7 +24,7 @@
 protected:
 	zone_reach _zones{ "a" };
 
-	/** Checks each 50 ms up to a time and returns the last change. */
+	/** Checks every 50 ms up to a time and returns the last change. */
 	std::optional<bool> check_until(int p_from, int p_to) {
 		std::optional<bool> last;
 		for (int now = p_from; now <= p_to; now += 50) {
@@ -66,12 +66,13 @@
 TEST_F(zone_reach_test, a_process_that_stood_still_listens_anew) {
 	_zones.on_node_heard("b", at(0));
 	EXPECT_FALSE(check_until(0, 200));
-	EXPECT_FALSE(check_until(3000, 3400)) << "nobody was heard, as nobody listened";
+	EXPECT_FALSE(check_until(3000, 3400)) << "nothing was received because the process was stalled";
 	EXPECT_EQ(check_until(3450, 3500), std::optional<bool>(false));
 }
 
 TEST_F(zone_reach_test, what_is_cut_off_is_known_also_to_who_did_not_follow_the_changes) {
-	// A node that became a hub went on avoiding a zone that it had been told was cut off, as it saw no change of its own.
+	// A node that became a hub kept avoiding a zone that its former hub had reported as unreachable, because its own checks
+	// had found no change.
 	_zones.on_node_heard("b", at(0));
 	_zones.on_node_heard("c", at(0));
 	check_until(0, 600);
