--- a/servers/routing/endpoint_group.cpp
+++ b/servers/routing/endpoint_group.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: endpoint_group.cpp
- * Endpoints of one pool that one selector admits, split by zone, with a ring for affinity.
+ * Endpoints of one pool that match one selector, split by zone, with a consistent-hashing ring for affinity.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -17,7 +17,8 @@
 namespace {
 
 constexpr int POINTS_PER_ENDPOINT = 16;
-constexpr int LONGEST_WALK = 24;
+/** Ring points that an affinity look-up visits at most. */
+constexpr int MAX_RING_STEPS = 24;
 
 } // namespace
 
@@ -37,7 +38,7 @@
 	_ring.reserve(members.size() * POINTS_PER_ENDPOINT);
 	for (endpoint_state *member : members) {
 		for (int i = 0; i < POINTS_PER_ENDPOINT; i++) {
-			// The number is part of the text: as a seed it would give short names of one shape the same points.
+			// The index is part of the hashed text: as a hash seed it would map short, similar names to the same points.
 			const std::uint64_t position = hash_bytes(member->listing.vm + "/" + std::to_string(i));
 			_ring.push_back(ring_point{ position, member });
 		}
@@ -58,17 +59,17 @@
 		return p_point.position < p_value;
 	});
 	const std::size_t start = static_cast<std::size_t>(first - _ring.begin());
-	const std::size_t steps = std::min<std::size_t>(_ring.size(), LONGEST_WALK);
-	const endpoint_state *refused = nullptr;
+	const std::size_t steps = std::min<std::size_t>(_ring.size(), MAX_RING_STEPS);
+	const endpoint_state *rejected = nullptr;
 	for (std::size_t i = 0; i < steps; i++) {
 		endpoint_state *candidate = _ring[(start + i) % _ring.size()].endpoint;
-		if (candidate == refused) {
+		if (candidate == rejected) {
 			continue;
 		}
 		if (p_accepts(*candidate)) {
 			return candidate;
 		}
-		refused = candidate;
+		rejected = candidate;
 	}
 	return nullptr;
 }
--- a/servers/routing/endpoint_identity.cpp
+++ b/servers/routing/endpoint_identity.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: endpoint_identity.cpp
- * Names one start of an endpoint.
+ * Identity of one incarnation of an endpoint.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
--- a/servers/routing/endpoint_identity.h
+++ b/servers/routing/endpoint_identity.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: endpoint_identity.h
- * Names one start of an endpoint.
+ * Identity of one incarnation of an endpoint.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -17,22 +17,22 @@
 namespace calicoscale {
 
 /**
- * One start of an endpoint. An endpoint may start again under its name; it then holds nothing of before, so whatever is
- * kept of an endpoint is kept by its identity.
+ * Identity of one incarnation of an endpoint, i.e. of the time from one start to the next. An endpoint that restarts keeps
+ * its name but loses its state, so all data about endpoints is stored by identity and not by name.
  */
 struct endpoint_identity {
 	std::string vm;
-	std::uint64_t incarnation = 0; ///< Unix milliseconds of the start, as the endpoint tells it; 0 when it is not known.
+	std::uint64_t incarnation = 0; ///< Start time in Unix milliseconds as the endpoint reports it; 0 if unknown.
 	std::strong_ordering operator<=>(const endpoint_identity &p_other) const = default;
 };
 
-/** Writes "name@incarnation", for logs. */
+/** Formats as "name@incarnation", for logs. */
 std::string to_string(const endpoint_identity &p_identity);
 
-/** Whether p_newer is a later start of the same endpoint. A start that is not known is neither earlier nor later. */
+/** Returns whether p_newer is a later incarnation of the same endpoint. An unknown incarnation is neither earlier nor later. */
 bool is_replaced_by(const endpoint_identity &p_identity, const endpoint_identity &p_newer);
 
-/** For unordered containers. */
+/** Hash function for unordered containers. */
 struct endpoint_identity_hash {
 	std::size_t operator()(const endpoint_identity &p_identity) const;
 };
--- a/servers/routing/endpoint_notice.h
+++ b/servers/routing/endpoint_notice.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: endpoint_notice.h
- * What an endpoint's answer says about the endpoint itself.
+ * Information about the endpoint itself that an endpoint's answer carries.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -15,30 +15,30 @@
 
 namespace calicoscale {
 
-/** What an answer says of the rate that its endpoint takes from all nodes together. */
+/** Whether an answer advertises a limit on the request rate that its endpoint accepts from all nodes together. */
 enum class limit_statement {
-	NONE, ///< Names no limit.
+	NONE, ///< Advertises no limit.
 	NAMED,
-	UNREADABLE, ///< Names one that is no number of requests a second; says neither that there is a limit nor that there is none.
+	UNREADABLE, ///< The limit isn't a number of requests per second, so whether there is a limit remains unknown.
 };
 
-/** What an answer says of the load of its endpoint, as it is right now. */
+/** Current load of an endpoint as reported with its answer. */
 struct told_load {
-	unsigned running = 0; ///< Requests at work.
-	unsigned waiting = 0;
-	unsigned slots = 0; ///< Requests that can be at work at once.
-	double pace = 1.0; ///< How long work takes, over what is usual.
+	unsigned running = 0; ///< Requests being executed.
+	unsigned waiting = 0; ///< Requests queued at the endpoint.
+	unsigned slots = 0; ///< Requests that can be executed concurrently.
+	double pace = 1.0; ///< Slowdown factor: processing time divided by the typical one.
 	bool operator==(const told_load &p_other) const = default;
 };
 
-/** What an endpoint's answer says about the endpoint itself, whatever became of the request. */
+/** Information about the endpoint itself that an answer carries, independent of the request's outcome. */
 struct endpoint_notice {
-	duration cold_left = duration::zero(); ///< How much longer the endpoint is cold; zero when it does not say.
+	duration cold_left = duration::zero(); ///< Remaining time until the endpoint is warm; zero if not reported.
 	limit_statement limit = limit_statement::NONE;
-	double rate_limit = 0.0; ///< Requests a second, if one is named; not negative.
-	std::optional<told_load> load; ///< Empty when it tells none, or in a form that is not known.
-	bool is_leaving = false; ///< This start of the endpoint ends in a while.
-	duration rest = duration::zero(); ///< For so long it wants nothing from the node that it turned away; zero when it does not say.
+	double rate_limit = 0.0; ///< Requests per second if limit is NAMED; not negative.
+	std::optional<told_load> load; ///< Empty if none is reported or its format is unknown.
+	bool is_leaving = false; ///< This incarnation of the endpoint will shut down soon.
+	duration rest = duration::zero(); ///< Back-off during which the rejected node must not send to this endpoint; zero if not reported.
 };
 
 } // namespace calicoscale
--- a/servers/routing/endpoint_state.cpp
+++ b/servers/routing/endpoint_state.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: endpoint_state.cpp
- * What this node knows of one endpoint.
+ * State of one endpoint as this node knows it.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,7 +18,7 @@
 
 constexpr double SLOWNESS_HALF_LIFE_SECONDS = 4.0;
 constexpr double ERROR_HALF_LIFE_SECONDS = 15.0;
-constexpr double REPORT_FADE_SECONDS = 2.0;
+constexpr double REPORT_DECAY_SECONDS = 2.0;
 
 } // namespace
 
@@ -45,8 +45,8 @@
 	if (p_now <= slowness_at) {
 		return slowness;
 	}
-	const double fade = std::exp2(-to_seconds(p_now - slowness_at) / SLOWNESS_HALF_LIFE_SECONDS);
-	return 1.0 + (slowness - 1.0) * fade;
+	const double decay = std::exp2(-to_seconds(p_now - slowness_at) / SLOWNESS_HALF_LIFE_SECONDS);
+	return 1.0 + (slowness - 1.0) * decay;
 }
 
 double endpoint_state::get_error_share(instant p_now) const {
@@ -63,7 +63,7 @@
 	}
 	const double age = std::max(0.0, to_seconds(p_now - report.taken_at));
 	const double others = std::max(0.0, report.running + report.queued - own);
-	return own + others * std::exp(-age / REPORT_FADE_SECONDS);
+	return own + others * std::exp(-age / REPORT_DECAY_SECONDS);
 }
 
 } // namespace calicoscale
--- a/servers/routing/endpoint_state.h
+++ b/servers/routing/endpoint_state.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: endpoint_state.h
- * What this node knows of one endpoint.
+ * State of one endpoint as this node knows it.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,7 +18,7 @@
 
 namespace calicoscale {
 
-/** Identity of an endpoint inside one process; never reused. */
+/** Identifies an endpoint incarnation inside this process; never reused. */
 using endpoint_id = std::uint64_t;
 
 /** An IPv4 address and a port. */
@@ -28,12 +28,12 @@
 	bool operator==(const network_address &p_other) const = default;
 };
 
-/** Writes "host:port". */
+/** Formats as "host:port". */
 std::string to_string(const network_address &p_address);
-/** Reads "host:port"; port 0 when the text is malformed. */
+/** Parses "host:port"; the port is 0 if the text is malformed. */
 network_address parse_network_address(std::string_view p_text);
 
-/** One endpoint as the platform's list tells it. */
+/** Entry of the platform's list of endpoints. */
 struct endpoint_listing {
 	std::string vm;
 	std::uint64_t incarnation = 0; ///< See endpoint_identity.
@@ -41,52 +41,52 @@
 	std::string pool;
 	network_address address;
 	label_set labels;
-	std::string version; ///< Of its software; empty when it is not told.
+	std::string version; ///< Version of the endpoint's software; empty if not reported.
 	bool leaving = false;
-	duration cold_left = duration::zero(); ///< How much longer it is cold, as of when it was told.
+	duration cold_left = duration::zero(); ///< Remaining time until it is warm, as of when the list was sent.
 	bool operator==(const endpoint_listing &p_other) const = default;
 
 	endpoint_identity get_identity() const { return endpoint_identity{ vm, incarnation }; }
 };
 
-/** Load as an endpoint reports it. */
+/** Load as reported by an endpoint. */
 struct endpoint_load {
-	double running = 0.0; ///< Requests being worked on.
-	double queued = 0.0; ///< Requests waiting at the endpoint.
-	instant taken_at{}; ///< When the endpoint measured it, on this node's time line.
+	double running = 0.0; ///< Requests being executed.
+	double queued = 0.0; ///< Requests queued at the endpoint.
+	instant taken_at{}; ///< When the endpoint measured it, on this node's clock.
 };
 
-/** Endpoint with all that was learnt about it. */
+/** An endpoint with its list entry and everything that this node has observed of it. */
 struct endpoint_state {
 	endpoint_id id = 0;
 	endpoint_listing listing;
 	bool listed = true; ///< Still on the platform's list.
-	bool leaving = false; ///< One way, for this incarnation.
+	bool leaving = false; ///< Never reset for this incarnation.
 	bool drained = false; ///< A drain rule matches.
-	bool evacuated = false; ///< Its availability zone is.
-	int in_flight = 0; ///< Attempts of this node.
-	double slowness = 1.0; ///< Service time over what is usual in the pool for the size; 1 is usual.
-	instant slowness_at{};
-	double error_share = 0.0; ///< Faded share of attempts that failed.
-	instant errors_at{};
+	bool evacuated = false; ///< Its availability zone is evacuated.
+	int in_flight = 0; ///< Open attempts of this node.
+	double slowness = 1.0; ///< Service time divided by the typical one in the pool for the request's size, smoothed; 1 is typical.
+	instant slowness_at{}; ///< When slowness was last updated.
+	double error_share = 0.0; ///< Exponentially decaying share of attempts that failed.
+	instant errors_at{}; ///< When error_share was last updated.
 	int consecutive_failures = 0;
-	int ejection_count = 0; ///< In a row; sets the back-off.
-	instant ejected_until{};
+	int ejection_count = 0; ///< Ejections without a success in between; determines the back-off.
+	instant ejected_until{}; ///< From then on one attempt may test whether the endpoint works again.
 	bool ejected = false;
-	bool trial_open = false; ///< One attempt tries whether it may come back.
+	bool trial_open = false; ///< The attempt that tests an ejected endpoint is in flight; no second one is sent meanwhile.
 	bool has_report = false;
 	endpoint_load report;
 
-	/** Whether new work may go here, ejection aside. */
+	/** Returns whether new work may be sent here, without regard to ejection. */
 	bool is_open() const { return listed && !leaving && !drained && !evacuated; }
 
-	/** Slowness after its memory has faded towards usual. */
+	/** Returns the slowness, decayed towards 1 since its last update. */
 	double get_slowness(instant p_now) const;
 
-	/** Share of attempts that failed, faded with time. */
+	/** Returns the share of failed attempts, decayed towards 0 since its last update. */
 	double get_error_share(instant p_now) const;
 
-	/** Own attempts and, faded by the age of the report, those of other nodes. */
+	/** Returns the open attempts of this node plus those of other nodes, which decay with the age of the endpoint's report. */
 	double get_load(instant p_now) const;
 };
 
--- a/servers/routing/home_regions.cpp
+++ b/servers/routing/home_regions.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: home_regions.cpp
- * Regions that a request and its body do not leave.
+ * Regions that a request and its body must not leave.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,14 +18,14 @@
 	return left == p_regions.end() || right == p_regions.end() || left->second == right->second;
 }
 
-home_regions::home_regions(const std::vector<std::string> &p_of_route, const std::vector<std::string> &p_of_customer) :
-		_is_bound(!p_of_route.empty() || !p_of_customer.empty()) {
-	if (p_of_route.empty() || p_of_customer.empty()) {
-		_regions = p_of_route.empty() ? p_of_customer : p_of_route;
+home_regions::home_regions(const std::vector<std::string> &p_route_regions, const std::vector<std::string> &p_customer_regions) :
+		_is_bound(!p_route_regions.empty() || !p_customer_regions.empty()) {
+	if (p_route_regions.empty() || p_customer_regions.empty()) {
+		_regions = p_route_regions.empty() ? p_customer_regions : p_route_regions;
 		return;
 	}
-	std::copy_if(p_of_route.begin(), p_of_route.end(), std::back_inserter(_regions), [&p_of_customer](const std::string &p_region) {
-		return std::find(p_of_customer.begin(), p_of_customer.end(), p_region) != p_of_customer.end();
+	std::copy_if(p_route_regions.begin(), p_route_regions.end(), std::back_inserter(_regions), [&p_customer_regions](const std::string &p_region) {
+		return std::find(p_customer_regions.begin(), p_customer_regions.end(), p_region) != p_customer_regions.end();
 	});
 }
 
--- a/servers/routing/home_regions.h
+++ b/servers/routing/home_regions.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: home_regions.h
- * Regions that a request and its body do not leave.
+ * Regions that a request and its body must not leave.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -15,33 +15,39 @@
 
 namespace calicoscale {
 
-/** Whether two availability zones lie in one region; so do those whose region is not known. @param p_regions by zone. */
+/**
+ * Returns whether two availability zones lie in the same region; true if the region of either one is unknown.
+ * @param p_regions maps zones to regions.
+ */
 bool is_same_region(const std::string &p_left, const std::string &p_right, const std::map<std::string, std::string> &p_regions);
 
-/** Homes of a request, from those of its route and of its customer. Without either it may go anywhere. */
+/**
+ * Home regions of a request: the regions in which it may be processed. They follow from the settings of its route and of its
+ * customer; if neither names any, the request is unrestricted.
+ */
 class home_regions {
-	bool _is_bound = false;
-	std::vector<std::string> _regions; ///< Empty while bound: no region is a home of both.
+	bool _is_bound = false; ///< The request is restricted to _regions.
+	std::vector<std::string> _regions; ///< Empty while bound: route and customer have no region in common.
 
 public:
 	home_regions() = default;
 
-	/** When both name homes, both bind. */
-	home_regions(const std::vector<std::string> &p_of_route, const std::vector<std::string> &p_of_customer);
+	/** If both name regions, only those in both lists remain. */
+	home_regions(const std::vector<std::string> &p_route_regions, const std::vector<std::string> &p_customer_regions);
 
-	/** Homes as another node told them: empty for no bound. */
-	explicit home_regions(const std::vector<std::string> &p_told) :
-			home_regions(p_told, {}) {}
+	/** Home regions as received from another node; empty if unrestricted. */
+	explicit home_regions(const std::vector<std::string> &p_received) :
+			home_regions(p_received, {}) {}
 
 	bool is_bound() const { return _is_bound; }
 
-	/** Whether route and customer name homes and share none, so that nothing may serve the request. */
+	/** Returns whether route and customer have no home region in common, so that no endpoint may serve the request. */
 	bool is_nowhere() const { return _is_bound && _regions.empty(); }
 
-	/** To tell another node. Not for a request that is nowhere at home, as none stand for no bound there. */
+	/** Regions to send to another node. Not for a request with is_nowhere(): an empty list means "unrestricted" there. */
 	const std::vector<std::string> &get_regions() const { return _regions; }
 
-	/** Whether an availability zone lies in a home. One whose region is not known does not. */
+	/** Returns whether an availability zone lies in a home region; false for a zone with an unknown region. */
 	bool admits(const std::string &p_zone, const std::map<std::string, std::string> &p_regions) const;
 };
 
--- a/servers/routing/router.cpp
+++ b/servers/routing/router.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: router.cpp
- * Endpoint table and the choice of an endpoint for an attempt.
+ * Endpoint table and selection of an endpoint for an attempt.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -19,21 +19,22 @@
 namespace {
 
 constexpr int FAILURES_TO_EJECT = 5;
-constexpr duration EJECTION_BASE = std::chrono::seconds(1);
-constexpr duration EJECTION_LONGEST = std::chrono::seconds(30);
-constexpr double SLOWNESS_RISE = 0.3;
-constexpr double SLOWNESS_FALL = 0.15;
-constexpr double SLOWNESS_HIGHEST = 50.0;
-constexpr double ERROR_STEP = 0.2;
-/** A failure counts as an answer this much slower than usual, so that failing fast attracts no work. */
+constexpr duration MIN_EJECTION_TIME = std::chrono::seconds(1);
+constexpr duration MAX_EJECTION_TIME = std::chrono::seconds(30);
+/** Weights of a new sample in the moving averages below; slowness rises faster than it falls. */
+constexpr double SLOWNESS_RISE_WEIGHT = 0.3;
+constexpr double SLOWNESS_FALL_WEIGHT = 0.15;
+constexpr double MAX_SLOWNESS = 50.0;
+constexpr double ERROR_WEIGHT = 0.2;
+/** A failure counts as an answer that is slower than typical by this factor, so that an endpoint which fails fast attracts no work. */
 constexpr double FAILURE_SLOWNESS = 4.0;
-/** Affinity is kept while the endpoint's predicted finish is at most this much above an idle usual one's. */
-constexpr double AFFINITY_BOUND = 4.0;
-/** An endpoint that is itself slow saves less by its cache than it costs. */
-constexpr double AFFINITY_SLOWNESS = 1.8;
-/** Another zone is used when its best finish is this much better than the own zone's. */
-constexpr double LEAVE_ZONE_FACTOR = 1.5;
-constexpr double LEAVE_ZONE_MARGIN = 0.25;
+/** Affinity is kept while the endpoint's predicted finish time is at most this multiple of that of an idle, typically fast endpoint. */
+constexpr double AFFINITY_MAX_FINISH = 4.0;
+/** Affinity is dropped above this slowness, as a slow endpoint costs more time than its cache saves. */
+constexpr double AFFINITY_MAX_SLOWNESS = 1.8;
+/** Another zone is used if the own zone's finish time exceeds the other's by this factor and this margin. */
+constexpr double CROSS_ZONE_FACTOR = 1.5;
+constexpr double CROSS_ZONE_MARGIN = 0.25;
 
 constexpr std::array<enum_name<endpoint_change::kind>, 6> CHANGE_NAMES{ {
 		{ endpoint_change::kind::ADDED, "added" },
@@ -48,7 +49,7 @@
 	return std::find(p_ids.begin(), p_ids.end(), p_id) != p_ids.end();
 }
 
-/** Whether a failure says something about the endpoint rather than about the request. */
+/** Returns whether a failure is caused by the endpoint rather than by the request or its caller. */
 bool is_endpoint_fault(const outcome &p_result) {
 	switch (p_result.why) {
 		case reason::CANCELLED:
@@ -71,7 +72,7 @@
 		_zone(std::move(p_zone)), _random(p_seed) {
 }
 
-void router::_note(endpoint_change::kind p_kind, const endpoint_state &p_endpoint) {
+void router::_record_change(endpoint_change::kind p_kind, const endpoint_state &p_endpoint) {
 	_changes.push_back(endpoint_change{ p_kind, p_endpoint.listing.get_identity(), p_endpoint.listing.pool });
 }
 
@@ -81,7 +82,7 @@
 	return changes;
 }
 
-bool router::_has_left(const std::string &p_vm, std::uint64_t p_incarnation) const {
+bool router::_is_marked_leaving(const std::string &p_vm, std::uint64_t p_incarnation) const {
 	const auto mark = _leaving_marks.find(p_vm);
 	return mark != _leaving_marks.end() && p_incarnation <= mark->second;
 }
@@ -104,11 +105,11 @@
 	std::unique_ptr<endpoint_state> endpoint = std::make_unique<endpoint_state>();
 	endpoint->id = _next_id++;
 	endpoint->listing = p_listing;
-	endpoint->leaving = p_listing.leaving || _has_left(p_listing.vm, p_listing.incarnation);
+	endpoint->leaving = p_listing.leaving || _is_marked_leaving(p_listing.vm, p_listing.incarnation);
 	endpoint->drained = _is_drained(*endpoint);
 	endpoint->evacuated = _evacuated_zones.contains(p_listing.zone);
 	_by_vm[p_listing.vm] = endpoint->id;
-	_note(endpoint_change::kind::ADDED, *endpoint);
+	_record_change(endpoint_change::kind::ADDED, *endpoint);
 	_endpoints.emplace(endpoint->id, std::move(endpoint));
 }
 
@@ -131,9 +132,9 @@
 }
 
 bool router::_is_same(const endpoint_state &p_endpoint, const endpoint_listing &p_listing) const {
-	// A peer that did not know the start told of it first.
-	const bool is_learnt = p_endpoint.listing.incarnation == 0;
-	return (is_learnt || p_endpoint.listing.incarnation == p_listing.incarnation) && p_endpoint.listing.address == p_listing.address;
+	// An entry without an incarnation came from a peer that didn't know the start time; the list now adds it.
+	const bool is_start_unknown = p_endpoint.listing.incarnation == 0;
+	return (is_start_unknown || p_endpoint.listing.incarnation == p_listing.incarnation) && p_endpoint.listing.address == p_listing.address;
 }
 
 void router::set_listings(const std::vector<endpoint_listing> &p_listings) {
@@ -159,17 +160,17 @@
 			continue;
 		}
 		if (is_replaced_by(endpoint.listing.get_identity(), listing.get_identity())) {
-			_note(endpoint_change::kind::REPLACED, endpoint);
+			_record_change(endpoint_change::kind::REPLACED, endpoint);
 		}
 		if (listing.incarnation >= endpoint.listing.incarnation) {
 			_add(listing);
 		}
 	}
-	_forget_idle();
+	_remove_unlisted();
 	_groups.clear();
 }
 
-void router::_forget_idle() {
+void router::_remove_unlisted() {
 	for (auto entry = _endpoints.begin(); entry != _endpoints.end();) {
 		const endpoint_state &endpoint = *entry->second;
 		if (endpoint.listed || endpoint.in_flight > 0) {
@@ -180,20 +181,20 @@
 		if (known != _by_vm.end() && known->second == endpoint.id) {
 			_by_vm.erase(known);
 		}
-		_note(endpoint_change::kind::REMOVED, endpoint);
+		_record_change(endpoint_change::kind::REMOVED, endpoint);
 		entry = _endpoints.erase(entry);
 	}
 }
 
 bool router::mark_leaving(const std::string &p_vm, std::uint64_t p_incarnation) {
-	if (_has_left(p_vm, p_incarnation)) {
+	if (_is_marked_leaving(p_vm, p_incarnation)) {
 		return false;
 	}
 	_leaving_marks[p_vm] = p_incarnation;
 	for (const auto &[id, endpoint] : _endpoints) {
 		if (endpoint->listing.vm == p_vm && endpoint->listing.incarnation <= p_incarnation && !endpoint->leaving) {
 			endpoint->leaving = true;
-			_note(endpoint_change::kind::LEAVING, *endpoint);
+			_record_change(endpoint_change::kind::LEAVING, *endpoint);
 		}
 	}
 	_groups.clear();
@@ -246,7 +247,7 @@
 	}
 	return p_group.find_by_affinity(p_request.affinity_key, [this, &p_request, p_now](const endpoint_state &p_endpoint) {
 		const bool is_usable = !p_endpoint.ejected && _may_try(p_endpoint, p_request, p_now) && !is_contained(p_request.avoid, p_endpoint.id);
-		return is_usable && p_endpoint.get_slowness(p_now) <= AFFINITY_SLOWNESS && predict_finish(p_endpoint, p_now) <= AFFINITY_BOUND;
+		return is_usable && p_endpoint.get_slowness(p_now) <= AFFINITY_MAX_SLOWNESS && predict_finish(p_endpoint, p_now) <= AFFINITY_MAX_FINISH;
 	});
 }
 
@@ -269,11 +270,11 @@
 	}
 	const double local_finish = predict_finish(*local, p_now);
 	const double remote_finish = predict_finish(*remote, p_now);
-	return local_finish > remote_finish * LEAVE_ZONE_FACTOR + LEAVE_ZONE_MARGIN ? remote : local;
+	return local_finish > remote_finish * CROSS_ZONE_FACTOR + CROSS_ZONE_MARGIN ? remote : local;
 }
 
 endpoint_state *router::_choose_any(endpoint_group &r_group, const choice_request &p_request, instant p_now) {
-	// Everything looks bad, so this node may be what is wrong: ejection is ignored rather than refusing all work.
+	// All endpoints seem to fail, so the fault may be at this node: ignore ejections instead of refusing all work.
 	return _choose_by_policy(
 			r_group, [this, &p_request, p_now](const endpoint_state &p_endpoint) { return _is_allowed(p_endpoint, p_request, p_now); }, p_now);
 }
@@ -285,10 +286,10 @@
 	}
 	endpoint_state *chosen = _choose_by_affinity(group, p_request, p_now);
 	if (chosen == nullptr) {
-		const std::function<bool(const endpoint_state &)> is_fresh = [this, &p_request, p_now](const endpoint_state &p_endpoint) {
+		const std::function<bool(const endpoint_state &)> is_untried = [this, &p_request, p_now](const endpoint_state &p_endpoint) {
 			return _may_try(p_endpoint, p_request, p_now) && !is_contained(p_request.avoid, p_endpoint.id);
 		};
-		chosen = _choose_by_policy(group, is_fresh, p_now);
+		chosen = _choose_by_policy(group, is_untried, p_now);
 	}
 	if (chosen == nullptr) {
 		chosen = _choose_any(group, p_request, p_now);
@@ -327,8 +328,8 @@
 bool router::is_closed_off(const choice_request &p_request) const {
 	bool is_any = false;
 	for (const auto &[id, endpoint] : _endpoints) {
-		const bool stays = endpoint->listed && !endpoint->leaving && endpoint->listing.pool == p_request.pool;
-		if (!stays) {
+		const bool is_staying = endpoint->listed && !endpoint->leaving && endpoint->listing.pool == p_request.pool;
+		if (!is_staying) {
 			continue;
 		}
 		is_any = true;
@@ -369,57 +370,57 @@
 		_on_failure(endpoint, p_observation, p_now);
 	}
 	if (!endpoint.listed && endpoint.in_flight == 0) {
-		_forget_idle();
+		_remove_unlisted();
 		_groups.clear();
 	}
 }
 
-void router::_learn_slowness(endpoint_state &p_endpoint, double p_sample, instant p_now) {
+void router::_update_slowness(endpoint_state &p_endpoint, double p_sample, instant p_now) {
 	const double current = p_endpoint.get_slowness(p_now);
-	const double step = p_sample > current ? SLOWNESS_RISE : SLOWNESS_FALL;
-	const double learnt = current + (p_sample - current) * step;
-	p_endpoint.slowness = std::clamp(learnt, 1.0 / SLOWNESS_HIGHEST, SLOWNESS_HIGHEST);
+	const double weight = p_sample > current ? SLOWNESS_RISE_WEIGHT : SLOWNESS_FALL_WEIGHT;
+	const double estimate = current + (p_sample - current) * weight;
+	p_endpoint.slowness = std::clamp(estimate, 1.0 / MAX_SLOWNESS, MAX_SLOWNESS);
 	p_endpoint.slowness_at = p_now;
 }
 
-void router::_learn_errors(endpoint_state &p_endpoint, double p_sample, instant p_now) {
+void router::_update_error_share(endpoint_state &p_endpoint, double p_sample, instant p_now) {
 	const double current = p_endpoint.get_error_share(p_now);
-	p_endpoint.error_share = current + (p_sample - current) * ERROR_STEP;
+	p_endpoint.error_share = current + (p_sample - current) * ERROR_WEIGHT;
 	p_endpoint.errors_at = p_now;
 }
 
 void router::_on_success(endpoint_state &p_endpoint, const attempt_observation &p_observation, instant p_now) {
 	if (p_observation.usual > duration::zero()) {
 		const double sample = static_cast<double>(p_observation.elapsed.count()) / static_cast<double>(p_observation.usual.count());
-		_learn_slowness(p_endpoint, std::min(sample, SLOWNESS_HIGHEST), p_now);
+		_update_slowness(p_endpoint, std::min(sample, MAX_SLOWNESS), p_now);
 	}
-	_learn_errors(p_endpoint, 0.0, p_now);
+	_update_error_share(p_endpoint, 0.0, p_now);
 	p_endpoint.consecutive_failures = 0;
 	if (p_endpoint.ejected) {
 		p_endpoint.ejected = false;
 		p_endpoint.ejection_count = 0;
-		_note(endpoint_change::kind::READMITTED, p_endpoint);
+		_record_change(endpoint_change::kind::READMITTED, p_endpoint);
 	}
 }
 
 void router::_on_cancelled(endpoint_state &p_endpoint, const attempt_observation &p_observation, instant p_now) {
-	// Had it been left to run it would have taken longer still, so the time so far is a lower bound.
+	// The attempt would have taken even longer, so the elapsed time is a lower bound of its service time.
 	if (p_observation.usual <= duration::zero() || p_observation.elapsed <= p_observation.usual) {
 		return;
 	}
 	const double sample = static_cast<double>(p_observation.elapsed.count()) / static_cast<double>(p_observation.usual.count());
 	if (sample > p_endpoint.get_slowness(p_now)) {
-		_learn_slowness(p_endpoint, std::min(sample, SLOWNESS_HIGHEST), p_now);
+		_update_slowness(p_endpoint, std::min(sample, MAX_SLOWNESS), p_now);
 	}
 }
 
 void router::_on_failure(endpoint_state &p_endpoint, const attempt_observation &p_observation, instant p_now) {
-	_learn_slowness(p_endpoint, std::max(FAILURE_SLOWNESS, p_endpoint.get_slowness(p_now)), p_now);
+	_update_slowness(p_endpoint, std::max(FAILURE_SLOWNESS, p_endpoint.get_slowness(p_now)), p_now);
 	if (p_observation.result.why == reason::REFUSED_BUSY) {
-		// Being busy is no fault; the slowness learnt above steers work away.
+		// Being busy isn't an error; the raised slowness already steers work away.
 		return;
 	}
-	_learn_errors(p_endpoint, 1.0, p_now);
+	_update_error_share(p_endpoint, 1.0, p_now);
 	p_endpoint.consecutive_failures++;
 	if (p_endpoint.ejected) {
 		_eject(p_endpoint, p_now);
@@ -429,7 +430,7 @@
 	const int allowed = is_unreachable ? _settings.connect_failures_to_eject : FAILURES_TO_EJECT;
 	if (p_endpoint.consecutive_failures >= allowed && _may_eject(p_endpoint)) {
 		_eject(p_endpoint, p_now);
-		_note(endpoint_change::kind::EJECTED, p_endpoint);
+		_record_change(endpoint_change::kind::EJECTED, p_endpoint);
 	}
 }
 
@@ -448,7 +449,7 @@
 
 void router::_eject(endpoint_state &p_endpoint, instant p_now) {
 	const double factor = std::exp2(static_cast<double>(std::min(p_endpoint.ejection_count, 10)));
-	const duration back_off = std::min(EJECTION_LONGEST, duration(static_cast<duration::rep>(EJECTION_BASE.count() * factor)));
+	const duration back_off = std::min(MAX_EJECTION_TIME, duration(static_cast<duration::rep>(MIN_EJECTION_TIME.count() * factor)));
 	p_endpoint.ejected = true;
 	p_endpoint.ejection_count++;
 	p_endpoint.ejected_until = p_now + back_off;
--- a/servers/routing/router.h
+++ b/servers/routing/router.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: router.h
- * Endpoint table and the choice of an endpoint for an attempt.
+ * Endpoint table and selection of an endpoint for an attempt.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -25,35 +25,35 @@
 
 namespace calicoscale {
 
-/** What an attempt needs of an endpoint. */
+/** Requirements of an attempt on its endpoint. */
 struct choice_request {
 	std::string pool;
-	selector endpoints; ///< From steering rules; empty admits the whole pool.
-	std::uint64_t affinity_key = 0; ///< 0 asks for no affinity.
-	std::vector<endpoint_id> avoid; ///< Tried before; used again only when no other is left.
-	std::function<bool(const endpoint_listing &)> admits; ///< Others are never chosen; empty admits all.
+	selector endpoints; ///< From steering rules; an empty one admits the whole pool.
+	std::uint64_t affinity_key = 0; ///< 0 for no affinity.
+	std::vector<endpoint_id> avoid; ///< Already tried endpoints; chosen again only if no other is available.
+	std::function<bool(const endpoint_listing &)> admits; ///< Endpoints that it rejects are never chosen; empty admits all.
 };
 
-/** Whether an endpoint may be sent one request more now. */
+/** Returns whether one more request may be sent to an endpoint now. */
 using send_limit = std::function<bool(const endpoint_identity &, instant)>;
 
-/** How an attempt at an endpoint ended, as far as routing cares. */
+/** Outcome and timing of an attempt, for the router's estimates. */
 struct attempt_observation {
 	outcome result;
 	duration elapsed = duration::zero();
-	duration usual = duration::zero(); ///< Usual time for the size in this pool; zero when unknown.
+	duration usual = duration::zero(); ///< Typical time for the request's size in this pool; zero if unknown.
 };
 
-/** Settings of the router that come with the configuration. */
+/** Settings of the router from the configuration. */
 struct router_settings {
 	routing_policy policy = routing_policy::PREDICTED_FINISH;
 	double max_ejected_share = 0.5;
-	/** Connections that fail in a row until an endpoint is ejected; 1 where connecting has a short time-out. */
+	/** Consecutive connection failures until an endpoint is ejected; 1 where connecting has a short time-out. */
 	int connect_failures_to_eject = 5;
-	std::vector<selector> drains;
+	std::vector<selector> drains; ///< Endpoints that match any of them get no new work.
 };
 
-/** Change of an endpoint's standing, for logs, metrics and the time line. */
+/** Change of an endpoint's state, for logs, metrics and the time line. */
 struct endpoint_change {
 	enum class kind {
 		ADDED,
@@ -61,7 +61,7 @@
 		LEAVING,
 		EJECTED,
 		READMITTED,
-		REPLACED, ///< A later start of it is on the list; reported at once, though attempts may still run.
+		REPLACED, ///< A later incarnation is on the list; reported immediately, though attempts at the earlier one may still run.
 	};
 	kind what = kind::ADDED;
 	endpoint_identity endpoint;
@@ -72,9 +72,9 @@
 std::string_view get_name(endpoint_change::kind p_kind);
 
 /**
- * Knows the endpoints and chooses among them. Not told the time except with each call.
- * Rules of eligibility: on the list, not leaving, not drained, not in an evacuated zone, within its limit; not ejected unless
- * nothing else is left.
+ * Table of endpoints that selects one for each attempt. The caller passes the current time.
+ * An endpoint is eligible if it is on the list, isn't leaving or drained, isn't in an evacuated zone and is within its limit.
+ * Ejected endpoints are chosen only if no other is eligible.
  */
 class router {
 	std::string _zone;
@@ -88,12 +88,12 @@
 	std::vector<endpoint_listing> _last_listings;
 	std::vector<endpoint_change> _changes;
 
-	void _note(endpoint_change::kind p_kind, const endpoint_state &p_endpoint);
-	bool _has_left(const std::string &p_vm, std::uint64_t p_incarnation) const;
+	void _record_change(endpoint_change::kind p_kind, const endpoint_state &p_endpoint);
+	bool _is_marked_leaving(const std::string &p_vm, std::uint64_t p_incarnation) const;
 	void _add(const endpoint_listing &p_listing);
 	void _update(endpoint_state &p_endpoint, const endpoint_listing &p_listing);
 	bool _is_same(const endpoint_state &p_endpoint, const endpoint_listing &p_listing) const;
-	void _forget_idle();
+	void _remove_unlisted();
 	bool _is_drained(const endpoint_state &p_endpoint) const;
 	endpoint_group &_get_group(const choice_request &p_request);
 	std::set<std::string> _unreached_zones;
@@ -105,8 +105,8 @@
 	endpoint_state *_choose_by_affinity(const endpoint_group &p_group, const choice_request &p_request, instant p_now);
 	endpoint_state *_choose_by_policy(endpoint_group &r_group, const std::function<bool(const endpoint_state &)> &p_usable, instant p_now);
 	endpoint_state *_choose_any(endpoint_group &r_group, const choice_request &p_request, instant p_now);
-	void _learn_slowness(endpoint_state &p_endpoint, double p_sample, instant p_now);
-	void _learn_errors(endpoint_state &p_endpoint, double p_sample, instant p_now);
+	void _update_slowness(endpoint_state &p_endpoint, double p_sample, instant p_now);
+	void _update_error_share(endpoint_state &p_endpoint, double p_sample, instant p_now);
 	void _on_success(endpoint_state &p_endpoint, const attempt_observation &p_observation, instant p_now);
 	void _on_cancelled(endpoint_state &p_endpoint, const attempt_observation &p_observation, instant p_now);
 	void _on_failure(endpoint_state &p_endpoint, const attempt_observation &p_observation, instant p_now);
@@ -114,67 +114,69 @@
 	void _eject(endpoint_state &p_endpoint, instant p_now);
 
 public:
-	/** @param p_zone the node's own zone. @param p_seed for the random choices. */
+	/**
+	 * @param p_zone the node's own zone.
+	 * @param p_seed seed of the random choices.
+	 */
 	router(std::string p_zone, std::uint64_t p_seed);
 
-	/** Puts new settings in force. */
 	void set_settings(router_settings p_settings);
 
-	/** Zones whose endpoints are chosen only when no other is left. */
+	/** Sets the zones whose endpoints are chosen only if no other is available. */
 	void set_unreached_zones(std::set<std::string> p_zones) { _unreached_zones = std::move(p_zones); }
 
-	/** Zones whose endpoints get nothing new; attempts at them go on. */
+	/** Sets the zones whose endpoints get no new attempts; running attempts continue. */
 	void set_evacuated_zones(const std::set<std::string> &p_zones);
 
-	/** Sets what bounds the sends to each endpoint; empty for no bound. */
+	/** Sets the limit on sends to each endpoint; empty for none. */
 	void set_limit(send_limit p_limit) { _limit = std::move(p_limit); }
 
 	/**
-	 * Replaces the list. Endpoints gone from it get no new work; their attempts go on. A later start of an endpoint begins
-	 * with nothing that was learnt of the earlier one.
+	 * Replaces the list. Endpoints that are no longer listed get no new attempts; their running attempts continue. A later
+	 * incarnation of an endpoint starts without the estimates of the earlier one.
 	 */
 	void set_listings(const std::vector<endpoint_listing> &p_listings);
 
-	/** Marks an incarnation, and all before it, as leaving; never undone. Returns whether that was news. */
+	/** Marks an incarnation and all earlier ones as leaving; never undone. Returns whether the mark is new. */
 	bool mark_leaving(const std::string &p_vm, std::uint64_t p_incarnation);
 
-	/** All leaving marks, to tell peers. */
+	/** Highest leaving incarnation of each VM, to be sent to peers. */
 	const std::map<std::string, std::uint64_t> &get_leaving_marks() const { return _leaving_marks; }
 
-	/** Takes in a load report. */
+	/** Stores a load report of an endpoint; ignored if the endpoint is unknown. */
 	void take_report(endpoint_id p_endpoint, const endpoint_load &p_report);
 
-	/** Chooses an endpoint; empty when the pool has no open one. Counts nothing: see on_attempt_started. */
+	/** Chooses an endpoint; empty if the pool has no open one. Doesn't count the attempt: see on_attempt_started. */
 	std::optional<endpoint_id> choose(const choice_request &p_request, instant p_now);
 
-	/** Endpoints of a pool that may be tried now, without those to avoid; all that are allowed when none is left. */
+	/** Returns the endpoints that may be tried now, without those to avoid; if there are none, all eligible ones including ejected ones. */
 	std::vector<const endpoint_state *> get_usable(const choice_request &p_request, instant p_now);
 
-	/** Endpoints that are open, be it that the limit of some is reached just now. */
+	/** Returns all open endpoints, including those whose limit is currently reached. */
 	std::vector<endpoint_identity> get_open(const choice_request &p_request);
 
-	/** Whether the pool has endpoints that stay, and all of them are evacuated or not admitted: nothing can be sent there. */
+	/** Returns whether the pool has listed endpoints that aren't leaving, but all are evacuated or not admitted, so nothing can be sent. */
 	bool is_closed_off(const choice_request &p_request) const;
 
-	/** An attempt was started. */
+	/** Counts an attempt that was started. */
 	void on_attempt_started(endpoint_id p_endpoint, instant p_now);
 
-	/** An attempt ended; a cancelled one teaches at most that the endpoint is slow. */
+	/** Updates the estimates with a finished attempt. A cancelled one can only raise the endpoint's slowness. */
 	void on_attempt_ended(endpoint_id p_endpoint, const attempt_observation &p_observation, instant p_now);
 
-	/** Endpoint by identity; nullptr when it is gone. */
+	/** Returns an endpoint by its id; nullptr if it was removed. */
 	const endpoint_state *find(endpoint_id p_endpoint) const;
 
-	/** Newest incarnation of a VM; nullptr when unknown. */
+	/** Returns the newest incarnation of a VM; nullptr if unknown. */
 	const endpoint_state *find_vm(const std::string &p_vm) const;
 
-	/** Open endpoints in a pool that a selector admits. */
+	/** Returns the number of open endpoints in a pool that match a selector. */
 	std::size_t count_open(const std::string &p_pool, const selector &p_endpoints);
 
-	/** Calls the hook for each known endpoint. */
+	/** Calls p_hook for each known endpoint. */
 	void for_each(const std::function<void(const endpoint_state &)> &p_hook) const;
 
-	/** Hands out the changes since the last call. */
+	/** Returns the changes since the last call and clears them. */
 	std::vector<endpoint_change> take_changes();
 };
 
--- a/servers/routing/routing_policy.cpp
+++ b/servers/routing/routing_policy.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: routing_policy.cpp
- * The table of policies that choose among endpoints.
+ * Policies that choose among endpoints.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -16,10 +16,10 @@
 
 namespace {
 
-/** Draws before a policy that draws at random falls back to looking at every candidate. */
-constexpr int MOST_DRAWS = 6;
-/** A share of one of failures counts as if finishing took this much longer: a failure costs a retry, or the request. */
-constexpr double ERROR_PRICE = 20.0;
+/** Random draws without a usable candidate after which a policy scans all candidates. */
+constexpr int MAX_DRAWS = 6;
+/** At an error share of 1 the predicted finish time grows by this factor, since a failure costs a retry or the whole request. */
+constexpr double ERROR_COST_FACTOR = 20.0;
 
 constexpr std::array<enum_name<routing_policy>, 4> POLICY_NAMES{ {
 		{ routing_policy::PREDICTED_FINISH, "predicted_finish" },
@@ -28,7 +28,7 @@
 		{ routing_policy::RANDOM, "random" },
 } };
 
-/** First usable candidate from a random start on. */
+/** Returns the first usable candidate from p_start on, wrapping around; nullptr if none is usable. */
 endpoint_state *scan(const policy_input &p_input, std::size_t p_start) {
 	const std::size_t count = p_input.candidates.size();
 	for (std::size_t i = 0; i < count; i++) {
@@ -40,8 +40,9 @@
 	return nullptr;
 }
 
+/** Returns a random usable candidate; nullptr if none is usable. */
 endpoint_state *draw(const policy_input &p_input) {
-	for (int i = 0; i < MOST_DRAWS; i++) {
+	for (int i = 0; i < MAX_DRAWS; i++) {
 		endpoint_state *candidate = p_input.candidates[p_input.random.get_below(p_input.candidates.size())];
 		if (p_input.is_usable(*candidate)) {
 			return candidate;
@@ -132,7 +133,7 @@
 }
 
 double predict_finish(const endpoint_state &p_endpoint, instant p_now) {
-	const double errors = 1.0 + ERROR_PRICE * p_endpoint.get_error_share(p_now);
+	const double errors = 1.0 + ERROR_COST_FACTOR * p_endpoint.get_error_share(p_now);
 	return p_endpoint.get_slowness(p_now) * (1.0 + p_endpoint.get_load(p_now)) * errors;
 }
 
--- a/servers/routing/routing_policy.h
+++ b/servers/routing/routing_policy.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: routing_policy.h
- * The table of policies that choose among endpoints.
+ * Policies that choose among endpoints.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -20,38 +20,38 @@
 
 namespace calicoscale {
 
-/** Policies an operator may choose from. All but the first are kept as baselines. */
+/** Policies that an operator can configure. All but the first serve as baselines for comparison. */
 enum class routing_policy {
-	PREDICTED_FINISH, ///< Two random choices by predicted time to finish.
-	LEAST_REPORTED, ///< Least load as last reported.
+	PREDICTED_FINISH, ///< The better of two random candidates by predicted finish time.
+	LEAST_REPORTED, ///< The candidate with the least reported load.
 	ROUND_ROBIN,
 	RANDOM,
 };
 
-/** What a policy chooses from; every candidate may be chosen. */
+/** Input of a policy. */
 struct policy_input {
 	const std::vector<endpoint_state *> &candidates; ///< Never empty.
-	const std::function<bool(const endpoint_state &)> &is_usable; ///< Whether an endpoint may take this attempt.
+	const std::function<bool(const endpoint_state &)> &is_usable; ///< Returns whether an endpoint may get this attempt.
 	instant now;
 	random_source &random;
-	std::uint64_t turn; ///< Counts choices, for policies that take turns.
+	std::uint64_t turn; ///< Number of earlier choices in this group, for round robin.
 };
 
-/** Chooses an endpoint; nullptr when it met no usable one. */
+/** Chooses an endpoint; nullptr if it finds no usable one. */
 using policy_hook = std::function<endpoint_state *(const policy_input &p_input)>;
 
-/** Name as written in configurations, e.g. "predicted_finish". */
+/** Returns the name used in configurations, e.g. "predicted_finish". */
 std::string_view get_name(routing_policy p_policy);
-/** Looks a policy up by name. */
+/** Returns the policy with a name; empty if unknown. */
 std::optional<routing_policy> find_routing_policy(std::string_view p_name);
-/** All names, for messages. */
+/** Returns all names, separated by commas, for messages. */
 std::string list_routing_policies();
-/** Whether a policy prefers the own zone; the baselines know no zones. */
+/** Returns whether a policy prefers the own zone; the baselines ignore zones. */
 bool is_zone_aware(routing_policy p_policy);
-/** The hook that carries a policy out. */
+/** Returns the function that implements a policy. */
 const policy_hook &get_policy_hook(routing_policy p_policy);
 
-/** Relative time to finish one more attempt at an endpoint; 1 is an idle endpoint of usual speed. */
+/** Predicts the time to finish one more attempt at an endpoint, relative to an idle endpoint of typical speed (1). */
 double predict_finish(const endpoint_state &p_endpoint, instant p_now);
 
 } // namespace calicoscale
--- a/tests/servers/routing_test.cpp
+++ b/tests/servers/routing_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: routing_test.cpp
- * Choice of endpoints: eligibility, ejection, leaving, zones, affinity.
+ * Selection of endpoints: eligibility, ejection, leaving, zones, affinity.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -67,24 +67,24 @@
 	return attempt_observation{ { verdict::MAY_HAVE_RUN, p_reason }, std::chrono::milliseconds(5), duration::zero() };
 }
 
-/** Lists, marks, attempts and choices in any order. */
+/** Applies lists, leaving marks, attempts and choices in random order and checks the router after each step. */
 class router_world {
 	choice_source &_choices;
 	router _router{ "z1", 1 };
-	std::map<std::string, std::uint64_t> _marks; ///< What has left, by this world's own account.
-	std::map<std::string, std::uint64_t> _listed; ///< Incarnations on the last list that are live.
+	std::map<std::string, std::uint64_t> _marks; ///< Expected leaving marks: highest leaving incarnation of each VM.
+	std::map<std::string, std::uint64_t> _listed_incarnations; ///< Incarnations on the last list.
 	std::vector<endpoint_id> _open;
 	instant _now{};
 
 	void _list() {
 		std::vector<endpoint_listing> listings;
-		_listed.clear();
+		_listed_incarnations.clear();
 		for (int i = 0; i < 6; i++) {
 			if (_choices.one_in(5)) {
 				continue;
 			}
 			endpoint_listing listing = make_listing("vm" + std::to_string(i), i % 2 == 0 ? "z1" : "z2", 1 + _choices.pick(3));
-			// A stale list shows an endpoint live that has left before.
+			// A stale list may show an endpoint as not leaving although it was marked before.
 			listing.leaving = _choices.one_in(8);
 			if (listing.leaving) {
 				_marks[listing.vm] = std::max(_marks[listing.vm], listing.incarnation);
@@ -93,7 +93,7 @@
 		}
 		_router.set_listings(listings);
 		for (const endpoint_listing &listing : listings) {
-			_listed[listing.vm] = listing.incarnation;
+			_listed_incarnations[listing.vm] = listing.incarnation;
 		}
 	}
 
@@ -104,7 +104,7 @@
 		}
 		const endpoint_state *endpoint = _router.find(*chosen);
 		RC_ASSERT(endpoint != nullptr);
-		RC_ASSERT(_listed.contains(endpoint->listing.vm));
+		RC_ASSERT(_listed_incarnations.contains(endpoint->listing.vm));
 		const auto mark = _marks.find(endpoint->listing.vm);
 		RC_ASSERT(mark == _marks.end() || endpoint->listing.incarnation > mark->second);
 		_router.on_attempt_started(*chosen, _now);
@@ -119,7 +119,7 @@
 		const endpoint_id id = _open[index];
 		_open.erase(_open.begin() + static_cast<std::ptrdiff_t>(index));
 		const endpoint_state *endpoint = _router.find(id);
-		RC_ASSERT(endpoint != nullptr); // An endpoint with attempts is kept though it left the list.
+		RC_ASSERT(endpoint != nullptr); // An endpoint with open attempts is kept although it is no longer listed.
 		const std::string vm = endpoint->listing.vm;
 		const std::uint64_t incarnation = endpoint->listing.incarnation;
 		switch (_choices.pick(4)) {
@@ -201,7 +201,7 @@
 	EXPECT_EQ(later.in_flight, 0);
 	EXPECT_EQ(later.consecutive_failures, 0);
 	EXPECT_EQ(later.get_slowness(at(0)), 1.0);
-	// What ends late at the earlier start is no news of the later one.
+	// An attempt at the earlier incarnation that finishes late must not change the later one.
 	table.on_attempt_ended(earlier, attempt_observation{ { verdict::NOT_RUN, reason::REFUSED_LEAVING }, {}, {} }, at(10));
 	EXPECT_EQ(choose_vm(table, make_request(), at(10)), "vm0");
 	const std::vector<endpoint_change> after = table.take_changes();
@@ -283,7 +283,7 @@
 TEST(router, endpoint_that_fails_now_and_then_is_left_at_once) {
 	router table("z1", 1);
 	table.set_listings(make_pool(3, { "z1", "z2", "z3" }));
-	// Half its attempts succeed, so it is never ejected; still the own zone's only endpoint is left for the others.
+	// Half of its attempts succeed, so it is never ejected. The router must still prefer other zones over the own zone's only endpoint.
 	int first = 0;
 	for (int i = 0; i < 200; i++) {
 		const endpoint_id id = *table.choose(make_request(), at(i * 10));
