--- a/servers/limits/concurrency_limit.cpp
+++ b/servers/limits/concurrency_limit.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: concurrency_limit.cpp
- * How many attempts of this node a pool may hold, adapted by latency and refusals.
+ * Adaptive limit on this node's concurrent attempts at a pool, from latency and refusals.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -15,20 +15,21 @@
 
 namespace {
 
-constexpr double RECENT_STEP = 0.1;
-constexpr double BASE_FALL_STEP = 0.2;
-constexpr double BASE_RISE_STEP = 0.0002;
-/** Latency may rise to this multiple of the base before the limit shrinks; batching engines slow down a little by design. */
+/** Weights of a new sample in the moving averages below. */
+constexpr double RECENT_WEIGHT = 0.1;
+constexpr double BASE_FALL_WEIGHT = 0.2;
+constexpr double BASE_RISE_WEIGHT = 0.0002;
+/** The limit shrinks if the latency exceeds the baseline by this factor. Batching engines get somewhat slower under load by design. */
 constexpr double TOLERANCE = 2.0;
-constexpr double SMALLEST_GRADIENT = 0.5;
-constexpr double LIMIT_STEP = 0.05;
+constexpr double MIN_GRADIENT = 0.5;
+constexpr double LIMIT_WEIGHT = 0.05;
 constexpr double REFUSED_FACTOR = 0.85;
-constexpr duration SHORTEST_BETWEEN_CUTS = std::chrono::milliseconds(100);
+constexpr duration MIN_DECREASE_INTERVAL = std::chrono::milliseconds(100);
 
 } // namespace
 
-concurrency_limit::concurrency_limit(double p_start, double p_lowest, double p_highest) :
-		_limit(p_start), _lowest(p_lowest), _highest(p_highest) {
+concurrency_limit::concurrency_limit(double p_start, double p_min_limit, double p_max_limit) :
+		_limit(p_start), _min_limit(p_min_limit), _max_limit(p_max_limit) {
 }
 
 void concurrency_limit::on_success(double p_relative_latency) {
@@ -38,25 +39,25 @@
 		_base_latency = p_relative_latency;
 		_recent_latency = p_relative_latency;
 	}
-	const double base_step = p_relative_latency < _base_latency ? BASE_FALL_STEP : BASE_RISE_STEP;
-	_base_latency += (p_relative_latency - _base_latency) * base_step;
-	_recent_latency += (p_relative_latency - _recent_latency) * RECENT_STEP;
-	const double gradient = std::clamp(TOLERANCE * _base_latency / std::max(_recent_latency, 1e-9), SMALLEST_GRADIENT, 1.0);
+	const double base_weight = p_relative_latency < _base_latency ? BASE_FALL_WEIGHT : BASE_RISE_WEIGHT;
+	_base_latency += (p_relative_latency - _base_latency) * base_weight;
+	_recent_latency += (p_relative_latency - _recent_latency) * RECENT_WEIGHT;
+	const double gradient = std::clamp(TOLERANCE * _base_latency / std::max(_recent_latency, 1e-9), MIN_GRADIENT, 1.0);
 	if (gradient >= 1.0 && !was_used) {
-		// A limit that is not reached says nothing about whether a higher one would hold.
+		// While the limit isn't reached, the latency doesn't show whether a higher limit would work.
 		return;
 	}
-	const double wanted = _limit * gradient + std::sqrt(_limit);
-	_limit = std::clamp(_limit + (wanted - _limit) * LIMIT_STEP, _lowest, _highest);
+	const double target = _limit * gradient + std::sqrt(_limit);
+	_limit = std::clamp(_limit + (target - _limit) * LIMIT_WEIGHT, _min_limit, _max_limit);
 }
 
 void concurrency_limit::on_refused(instant p_now) {
 	_in_flight--;
-	if (p_now - _last_cut < SHORTEST_BETWEEN_CUTS) {
+	if (p_now - _last_decrease < MIN_DECREASE_INTERVAL) {
 		return;
 	}
-	_last_cut = p_now;
-	_limit = std::max(_lowest, _limit * REFUSED_FACTOR);
+	_last_decrease = p_now;
+	_limit = std::max(_min_limit, _limit * REFUSED_FACTOR);
 }
 
 void concurrency_limit::on_ended() {
--- a/servers/limits/concurrency_limit.h
+++ b/servers/limits/concurrency_limit.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: concurrency_limit.h
- * How many attempts of this node a pool may hold, adapted by latency and refusals.
+ * Adaptive limit on this node's concurrent attempts at a pool, from latency and refusals.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -14,32 +14,38 @@
 namespace calicoscale {
 
 /**
- * Gradient limit: compares recent latency with the best lately seen. While they agree the limit grows by its square
- * root; when latency rises above the tolerance it shrinks in proportion. A refusal shrinks it at once.
+ * Adaptive concurrency limit by latency gradient. Compares the recent latency with a baseline that follows the lowest latency.
+ * While the recent latency is within the tolerance, the limit grows towards limit + sqrt(limit); above it, the limit shrinks in
+ * proportion. A refusal shrinks it immediately.
  */
 class concurrency_limit {
 	double _limit;
-	double _lowest;
-	double _highest;
-	double _base_latency = 0.0; ///< Microseconds per usual microsecond; slowly forgets.
-	double _recent_latency = 0.0;
+	double _min_limit;
+	double _max_limit;
+	double _base_latency = 0.0; ///< Baseline of the relative latency; falls fast and rises slowly.
+	double _recent_latency = 0.0; ///< Moving average of the relative latency.
 	int _in_flight = 0;
-	instant _last_cut{};
+	instant _last_decrease{};
 
 public:
-	/** @param p_start first limit. @param p_lowest never below. @param p_highest never above. */
-	concurrency_limit(double p_start, double p_lowest, double p_highest);
-
+	/**
+	 * @param p_start initial limit.
+	 * @param p_min_limit lower bound of the limit.
+	 * @param p_max_limit upper bound of the limit.
+	 */
+	concurrency_limit(double p_start, double p_min_limit, double p_max_limit);
+
+	/** Returns whether one more attempt may start. */
 	bool has_room() const { return _in_flight < static_cast<int>(_limit); }
 	void on_started() { _in_flight++; }
 
-	/** An attempt succeeded. @param p_relative_latency its latency over what is usual for its size. */
+	/** Records a successful attempt. @param p_relative_latency its latency divided by the typical one for its size. */
 	void on_success(double p_relative_latency);
 
-	/** An attempt was refused as too much. */
+	/** Records an attempt that was refused because of overload. */
 	void on_refused(instant p_now);
 
-	/** An attempt ended and teaches nothing about load. */
+	/** Records the end of an attempt whose outcome says nothing about load. */
 	void on_ended();
 
 	int get_in_flight() const { return _in_flight; }
--- a/servers/limits/customer_limiter.h
+++ b/servers/limits/customer_limiter.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: customer_limiter.h
- * Rate and concurrency of each customer at this node.
+ * Limits the request rate and concurrency of each customer at this node.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -19,46 +19,46 @@
 
 namespace calicoscale {
 
-/** Answer to a customer that asks to be admitted. */
+/** Result of a request for admission. */
 struct admission_answer {
 	bool admitted = false;
 	reason why = reason::NONE;
-	duration retry_after = duration::zero();
+	duration retry_after = duration::zero(); ///< Time after which a rejected request may be retried.
 };
 
-/** Counts and limits each customer's requests at this node. */
+/** Limits each customer's request rate and concurrency at this node to the node's share of the customer's limits. */
 class customer_limiter {
 	struct customer_state {
 		token_bucket bucket;
 		customer_limits limits;
 		limit_part part;
 		int running = 0;
-		double demand = 0.0; ///< Requests a second, faded.
-		instant demand_at{};
+		double demand = 0.0; ///< Requests per second, exponentially decaying.
+		instant demand_at{}; ///< When demand was last updated.
 		bool has_part = false;
 	};
 
 	std::map<std::string, customer_state, std::less<>> _customers;
 
-	void _note_demand(customer_state &p_state, instant p_now);
+	void _record_demand(customer_state &p_state, instant p_now);
 
 public:
-	/** Sets a customer's limits and this node's part of them. */
+	/** Sets a customer's limits and this node's share of them. */
 	void set_part(const std::string &p_customer, const customer_limits &p_limits, const limit_part &p_part, instant p_now);
 
-	/** Forgets a customer that the configuration no longer has, once it has nothing running. */
+	/** Removes a customer that is no longer configured; does nothing while it has running requests. */
 	void forget(const std::string &p_customer);
 
-	/** A customer asks to run one request; an admitted one has to be ended by on_ended. */
+	/** Requests admission of one request. Each admitted request must be followed by one call of on_ended. */
 	admission_answer ask(const std::string &p_customer, instant p_now);
 
-	/** An admitted request ended. */
+	/** Records the end of an admitted request. */
 	void on_ended(const std::string &p_customer);
 
-	/** Requests a second each customer asked for lately, admitted or not. */
+	/** Returns the recent request rate of each customer in requests per second, including rejected requests. */
 	customer_demands get_demand(instant p_now) const;
 
-	/** Requests running for a customer. */
+	/** Returns the number of running requests of a customer. */
 	int get_running(const std::string &p_customer) const;
 };
 
--- a/servers/limits/fair_queue.cpp
+++ b/servers/limits/fair_queue.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: fair_queue.cpp
- * Bounded queue, fair between customers, aware of priority and deadline.
+ * Bounded queue that is fair between customers and respects priorities and deadlines.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -22,23 +22,23 @@
 		_capacity(p_capacity) {
 }
 
-double fair_queue::_get_use(const std::string &p_customer, double p_weight) const {
-	std::size_t held = 0;
-	for (const class_line &line : _classes) {
-		const auto found = line.customers.find(p_customer);
-		held += found == line.customers.end() ? 0 : found->second.waiting.size();
+double fair_queue::_get_weighted_size(const std::string &p_customer, double p_weight) const {
+	std::size_t queued = 0;
+	for (const class_queue &level_queue : _classes) {
+		const auto found = level_queue.customers.find(p_customer);
+		queued += found == level_queue.customers.end() ? 0 : found->second.waiting.size();
 	}
-	return static_cast<double>(held) / p_weight;
+	return static_cast<double>(queued) / p_weight;
 }
 
 std::optional<std::string> fair_queue::_find_largest_customer() const {
 	std::optional<std::string> largest;
-	double most = 0.0;
-	for (const class_line &line : _classes) {
-		for (const auto &[name, customer] : line.customers) {
-			const double use = _get_use(name, customer.weight);
-			if (use > most) {
-				most = use;
+	double largest_size = 0.0;
+	for (const class_queue &level_queue : _classes) {
+		for (const auto &[name, customer] : level_queue.customers) {
+			const double size = _get_weighted_size(name, customer.weight);
+			if (size > largest_size) {
+				largest_size = size;
 				largest = name;
 			}
 		}
@@ -61,23 +61,23 @@
 
 void fair_queue::_insert(const queued_request &p_request) {
 	const std::size_t level = static_cast<std::size_t>(p_request.priority);
-	class_line &line = _classes[level];
-	if (line.size == 0) {
-		line.virtual_start = std::max(line.virtual_start, _virtual_time);
+	class_queue &level_queue = _classes[level];
+	if (level_queue.size == 0) {
+		level_queue.virtual_start = std::max(level_queue.virtual_start, _virtual_time);
 	}
-	customer_line &customer = line.customers[p_request.customer];
+	customer_queue &customer = level_queue.customers[p_request.customer];
 	if (customer.waiting.empty()) {
-		// A customer that was away starts at the present; it neither lost nor saved up its share.
-		customer.virtual_start = std::max(customer.virtual_start, line.virtual_time);
+		// A customer without queued requests continues at the current virtual time: it neither loses nor accumulates its share.
+		customer.virtual_start = std::max(customer.virtual_start, level_queue.virtual_time);
 	}
 	customer.weight = p_request.weight;
 	customer.waiting.emplace(std::make_pair(p_request.start_by, p_request.id), p_request);
-	line.size++;
-	_places.emplace(p_request.id, queue_place{ level, p_request.customer, p_request.start_by });
+	level_queue.size++;
+	_positions.emplace(p_request.id, queue_position{ level, p_request.customer, p_request.start_by });
 }
 
 std::optional<dropped_request> fair_queue::push(const queued_request &p_request) {
-	if (_places.size() < _capacity) {
+	if (_positions.size() < _capacity) {
 		_insert(p_request);
 		return std::nullopt;
 	}
@@ -93,57 +93,57 @@
 
 double fair_queue::count_ahead(const std::string &p_customer, double p_weight) const {
 	std::map<std::string, std::pair<std::size_t, double>> waiting;
-	for (const class_line &line : _classes) {
-		for (const auto &[name, customer] : line.customers) {
+	for (const class_queue &level_queue : _classes) {
+		for (const auto &[name, customer] : level_queue.customers) {
 			waiting[name].first += customer.waiting.size();
 			waiting[name].second = customer.weight;
 		}
 	}
 	const auto own = waiting.find(p_customer);
-	const double turns = static_cast<double>(own == waiting.end() ? 1 : own->second.first + 1) / p_weight;
+	const double rounds = static_cast<double>(own == waiting.end() ? 1 : own->second.first + 1) / p_weight;
 	double ahead = 0.0;
-	for (const auto &[name, line] : waiting) {
+	for (const auto &[name, count_and_weight] : waiting) {
 		if (name != p_customer) {
-			ahead += std::min(static_cast<double>(line.first), turns * line.second);
+			ahead += std::min(static_cast<double>(count_and_weight.first), rounds * count_and_weight.second);
 		}
 	}
-	return ahead + turns * p_weight;
+	return ahead + rounds * p_weight;
 }
 
-fair_queue::class_line *fair_queue::_pick_class() {
-	class_line *best = nullptr;
-	for (class_line &line : _classes) {
-		if (line.size > 0 && (best == nullptr || line.virtual_start < best->virtual_start)) {
-			best = &line;
+fair_queue::class_queue *fair_queue::_pick_class() {
+	class_queue *best = nullptr;
+	for (class_queue &level_queue : _classes) {
+		if (level_queue.size > 0 && (best == nullptr || level_queue.virtual_start < best->virtual_start)) {
+			best = &level_queue;
 		}
 	}
 	return best;
 }
 
 std::optional<queued_request> fair_queue::pop(instant p_now, std::vector<dropped_request> &r_expired) {
-	while (class_line *line = _pick_class()) {
-		auto best = line->customers.end();
-		for (auto entry = line->customers.begin(); entry != line->customers.end(); ++entry) {
+	while (class_queue *level_queue = _pick_class()) {
+		auto best = level_queue->customers.end();
+		for (auto entry = level_queue->customers.begin(); entry != level_queue->customers.end(); ++entry) {
 			if (entry->second.waiting.empty()) {
 				continue;
 			}
-			if (best == line->customers.end() || entry->second.virtual_start < best->second.virtual_start) {
+			if (best == level_queue->customers.end() || entry->second.virtual_start < best->second.virtual_start) {
 				best = entry;
 			}
 		}
 		const queued_request next = best->second.waiting.begin()->second;
-		customer_line &customer = best->second;
+		customer_queue &customer = best->second;
 		if (next.start_by < p_now) {
-			// An expired request is not served, so it costs its customer no share.
+			// An expired request isn't served, so it doesn't count against its customer's share.
 			remove(next.id);
 			r_expired.push_back(dropped_request{ next.id, next.customer });
 			continue;
 		}
 		const std::size_t level = static_cast<std::size_t>(next.priority);
-		line->virtual_time = customer.virtual_start;
+		level_queue->virtual_time = customer.virtual_start;
 		customer.virtual_start += 1.0 / customer.weight;
-		_virtual_time = line->virtual_start;
-		line->virtual_start += 1.0 / CLASS_WEIGHTS[level];
+		_virtual_time = level_queue->virtual_start;
+		level_queue->virtual_start += 1.0 / CLASS_WEIGHTS[level];
 		remove(next.id);
 		return next;
 	}
@@ -152,8 +152,8 @@
 
 std::vector<dropped_request> fair_queue::drop_expired(instant p_now) {
 	std::vector<dropped_request> expired;
-	for (const class_line &line : _classes) {
-		for (const auto &[name, customer] : line.customers) {
+	for (const class_queue &level_queue : _classes) {
+		for (const auto &[name, customer] : level_queue.customers) {
 			for (const auto &[key, request] : customer.waiting) {
 				if (request.start_by >= p_now) {
 					break;
@@ -169,18 +169,18 @@
 }
 
 bool fair_queue::remove(const request_id &p_id) {
-	const auto place = _places.find(p_id);
-	if (place == _places.end()) {
+	const auto position = _positions.find(p_id);
+	if (position == _positions.end()) {
 		return false;
 	}
-	class_line &line = _classes[place->second.level];
-	const auto customer = line.customers.find(place->second.customer);
-	customer->second.waiting.erase(std::make_pair(place->second.start_by, p_id));
-	line.size--;
-	if (customer->second.waiting.empty() && customer->second.virtual_start <= line.virtual_time) {
-		line.customers.erase(customer);
+	class_queue &level_queue = _classes[position->second.level];
+	const auto customer = level_queue.customers.find(position->second.customer);
+	customer->second.waiting.erase(std::make_pair(position->second.start_by, p_id));
+	level_queue.size--;
+	if (customer->second.waiting.empty() && customer->second.virtual_start <= level_queue.virtual_time) {
+		level_queue.customers.erase(customer);
 	}
-	_places.erase(place);
+	_positions.erase(position);
 	return true;
 }
 
--- a/servers/limits/fair_queue.h
+++ b/servers/limits/fair_queue.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: fair_queue.h
- * Bounded queue, fair between customers, aware of priority and deadline.
+ * Bounded queue that is fair between customers and respects priorities and deadlines.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -21,17 +21,17 @@
 
 namespace calicoscale {
 
-/** One request that waits for a place. */
+/** A request that waits for a slot of the pool. */
 struct queued_request {
 	request_id id;
 	std::string customer;
 	double weight = 1.0;
 	priority_class priority = priority_class::NORMAL;
-	instant start_by{}; ///< Starting later than this would miss the deadline.
+	instant start_by{}; ///< Latest start at which the request can still meet its deadline.
 	instant queued_at{};
 };
 
-/** Why a request left the queue without a place. */
+/** A request that left the queue without a slot. */
 struct dropped_request {
 	request_id id;
 	std::string customer;
@@ -39,67 +39,67 @@
 
 /**
  * Start-time fair queueing on two levels: between priority classes by fixed weights, so that a low class is slow but
- * never starved, and between the customers of a class by their weights. Within a customer the earliest start_by goes
- * first. When full, the newcomer replaces the latest request of the customer that holds most places for its weight,
- * unless that is the newcomer's own.
+ * never starved, and between the customers of a class by their weights. A customer's requests are served by earliest
+ * start_by. If the queue is full, a newly arrived request replaces the request with the latest start_by of the customer
+ * that has the largest_size queued requests relative to its weight; if that is its own customer, the new request is dropped.
  */
 class fair_queue {
-	struct customer_line {
+	struct customer_queue {
 		std::map<std::pair<instant, request_id>, queued_request> waiting;
 		double weight = 1.0;
-		double virtual_start = 0.0;
+		double virtual_start = 0.0; ///< The customer's start tag within its class.
 	};
 
-	struct class_line {
-		std::map<std::string, customer_line> customers;
-		double virtual_time = 0.0; ///< Start tag of the customer served last.
-		double virtual_start = 0.0; ///< The class's own tag among classes.
-		std::size_t size = 0;
+	struct class_queue {
+		std::map<std::string, customer_queue> customers;
+		double virtual_time = 0.0; ///< Start tag of the customer that was served last.
+		double virtual_start = 0.0; ///< The class's start tag among the classes.
+		std::size_t size = 0; ///< Queued requests of all customers.
 	};
 
-	struct queue_place {
+	struct queue_position {
 		std::size_t level;
 		std::string customer;
 		instant start_by;
 	};
 
-	std::array<class_line, PRIORITY_COUNT> _classes;
-	std::map<request_id, queue_place> _places;
+	std::array<class_queue, PRIORITY_COUNT> _classes;
+	std::map<request_id, queue_position> _positions;
 	std::size_t _capacity;
 	double _virtual_time = 0.0;
 
-	class_line *_pick_class();
+	class_queue *_pick_class();
 	void _insert(const queued_request &p_request);
 	std::optional<std::string> _find_largest_customer() const;
 	std::optional<queued_request> _evict_last_of(const std::string &p_customer);
-	double _get_use(const std::string &p_customer, double p_weight) const;
+	double _get_weighted_size(const std::string &p_customer, double p_weight) const;
 
 public:
-	/** @param p_capacity most requests that wait. */
+	/** @param p_capacity maximum number of queued requests. */
 	explicit fair_queue(std::size_t p_capacity);
 
 	/**
 	 * Queues a request.
-	 * @return the request that found no place: the newcomer itself, one that had to leave for it, or none.
+	 * @return the dropped request if the queue was full: the new request itself, or the one that it replaced.
 	 */
 	std::optional<dropped_request> push(const queued_request &p_request);
 
-	/** Takes the next request; those past their start_by are dropped into r_expired. */
+	/** Removes and returns the next request. Requests past their start_by are removed and appended to r_expired. */
 	std::optional<queued_request> pop(instant p_now, std::vector<dropped_request> &r_expired);
 
-	/** Takes out every request past its start_by. */
+	/** Removes and returns every request past its start_by. */
 	std::vector<dropped_request> drop_expired(instant p_now);
 
-	/** Takes a request out, e.g. as its caller has gone. Returns whether it was there. */
+	/** Removes a request, e.g. because its caller disconnected. Returns whether it was queued. */
 	bool remove(const request_id &p_id);
 
 	/**
-	 * How many places will be given before a newcomer of a customer gets its own, by the customers' weights: a flood of
-	 * one customer is not in the way of another.
+	 * Returns how many slots will be granted until a new request of a customer gets one, including its own. Depends on the
+	 * customers' weights, so that a large number of requests of one customer doesn't delay another customer much.
 	 */
 	double count_ahead(const std::string &p_customer, double p_weight) const;
 
-	std::size_t get_size() const { return _places.size(); }
+	std::size_t get_size() const { return _positions.size(); }
 };
 
 } // namespace calicoscale
--- a/servers/limits/pool_gate.cpp
+++ b/servers/limits/pool_gate.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: pool_gate.cpp
- * The way into one pool: its concurrency limit, queue and budgets for extra work.
+ * Admission to one pool: concurrency limit, queue and budgets for retries and hedges.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -15,26 +15,26 @@
 namespace {
 
 constexpr double START_LIMIT = 16.0;
-constexpr double LOWEST_LIMIT = 2.0;
-constexpr double HIGHEST_LIMIT = 2048.0;
-constexpr double MOST_EXTRA_KEPT = 10.0;
+constexpr double MIN_LIMIT = 2.0;
+constexpr double MAX_LIMIT = 2048.0;
+constexpr double MAX_BUDGET = 10.0;
 constexpr double RETRY_RESERVE_PER_SECOND = 0.5;
 constexpr double HEDGE_RESERVE_PER_SECOND = 0.05;
 constexpr double DEFAULT_RETRY_SHARE = 0.1;
 constexpr double DEFAULT_SPARE_RETRY_SHARE = 0.7;
 constexpr double DEFAULT_HEDGE_SHARE = 0.04;
-constexpr double FADE_STEP = 0.05;
-/** Above this share of refusals the pool is overloaded rather than one endpoint busy. */
-constexpr double OVERLOADED_ABOVE = 0.2;
+constexpr double AVERAGE_WEIGHT = 0.05;
+/** Above this share of refusals the whole pool is considered overloaded, rather than single endpoints busy. */
+constexpr double OVERLOAD_REFUSED_SHARE = 0.2;
 
 } // namespace
 
 pool_gate::pool_gate(std::size_t p_queue_capacity) :
-		_limit(START_LIMIT, LOWEST_LIMIT, HIGHEST_LIMIT),
+		_limit(START_LIMIT, MIN_LIMIT, MAX_LIMIT),
 		_queue(p_queue_capacity),
-		_retries(DEFAULT_RETRY_SHARE, MOST_EXTRA_KEPT, RETRY_RESERVE_PER_SECOND),
-		_spare_retries(DEFAULT_SPARE_RETRY_SHARE, MOST_EXTRA_KEPT, 0.0),
-		_hedges(DEFAULT_HEDGE_SHARE, MOST_EXTRA_KEPT, HEDGE_RESERVE_PER_SECOND) {
+		_retries(DEFAULT_RETRY_SHARE, MAX_BUDGET, RETRY_RESERVE_PER_SECOND),
+		_spare_retries(DEFAULT_SPARE_RETRY_SHARE, MAX_BUDGET, 0.0),
+		_hedges(DEFAULT_HEDGE_SHARE, MAX_BUDGET, HEDGE_RESERVE_PER_SECOND) {
 }
 
 void pool_gate::set_shares(double p_retry_share, double p_spare_retry_share, double p_hedge_share) {
@@ -54,8 +54,8 @@
 	}
 }
 
-void pool_gate::_note_refusal(double p_refused) {
-	_refused_share += (p_refused - _refused_share) * FADE_STEP;
+void pool_gate::_record_refusal(double p_sample) {
+	_refused_share += (p_sample - _refused_share) * AVERAGE_WEIGHT;
 }
 
 gate_changes pool_gate::enter(const queued_request &p_request, instant p_now) {
@@ -68,25 +68,25 @@
 	return changes;
 }
 
-gate_changes pool_gate::leave(place_use p_use, duration p_held, double p_relative_latency, instant p_now) {
+gate_changes pool_gate::leave(place_use p_use, duration p_held_time, double p_relative_latency, instant p_now) {
 	switch (p_use) {
 		case place_use::SUCCEEDED:
 			_limit.on_success(p_relative_latency);
 			_retries.on_success(p_now);
 			_spare_retries.on_success(p_now);
 			_hedges.on_success(p_now);
-			_note_refusal(0.0);
+			_record_refusal(0.0);
 			break;
 		case place_use::REFUSED:
 			_limit.on_refused(p_now);
-			_note_refusal(1.0);
+			_record_refusal(1.0);
 			break;
 		case place_use::FAILED:
 			_limit.on_ended();
 			break;
 	}
-	const double held = to_seconds(p_held);
-	_seconds_per_place = _seconds_per_place <= 0.0 ? held : _seconds_per_place + (held - _seconds_per_place) * FADE_STEP;
+	const double held_seconds = to_seconds(p_held_time);
+	_seconds_per_slot = _seconds_per_slot <= 0.0 ? held_seconds : _seconds_per_slot + (held_seconds - _seconds_per_slot) * AVERAGE_WEIGHT;
 	gate_changes changes;
 	_fill(p_now, changes);
 	return changes;
@@ -99,20 +99,20 @@
 	return changes;
 }
 
-bool pool_gate::_has_spare_room() const {
+bool pool_gate::_has_spare_capacity() const {
 	return _queue.get_size() == 0 && static_cast<double>(_limit.get_in_flight()) * 2.0 <= _limit.get_limit();
 }
 
 bool pool_gate::may_retry(instant p_now) {
-	if (_refused_share > OVERLOADED_ABOVE) {
+	if (_refused_share > OVERLOAD_REFUSED_SHARE) {
 		return false;
 	}
-	// With room to spare a retry takes nothing from others; without it only the small budget stands.
-	return _retries.try_spend(p_now) || (_has_spare_room() && _spare_retries.try_spend(p_now));
+	// With spare capacity a retry doesn't displace other requests; otherwise only the small budget applies.
+	return _retries.try_spend(p_now) || (_has_spare_capacity() && _spare_retries.try_spend(p_now));
 }
 
 bool pool_gate::may_hedge(instant p_now) {
-	const bool has_spare = _queue.get_size() == 0 && _refused_share <= OVERLOADED_ABOVE;
+	const bool has_spare = _queue.get_size() == 0 && _refused_share <= OVERLOAD_REFUSED_SHARE;
 	return has_spare && _hedges.try_spend(p_now);
 }
 
@@ -121,7 +121,7 @@
 		return duration::zero();
 	}
 	const double ahead = _queue.count_ahead(p_customer, p_weight);
-	return from_seconds(ahead * _seconds_per_place / std::max(1.0, _limit.get_limit()));
+	return from_seconds(ahead * _seconds_per_slot / std::max(1.0, _limit.get_limit()));
 }
 
 } // namespace calicoscale
--- a/servers/limits/pool_gate.h
+++ b/servers/limits/pool_gate.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: pool_gate.h
- * The way into one pool: its concurrency limit, queue and budgets for extra work.
+ * Admission to one pool: concurrency limit, queue and budgets for retries and hedges.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -15,66 +15,67 @@
 
 namespace calicoscale {
 
-/** How a place in a pool was used. */
+/** Outcome of an attempt that used a slot of a pool. */
 enum class place_use {
 	SUCCEEDED,
-	REFUSED, ///< The pool said it has too much.
-	FAILED, ///< Anything else; teaches nothing about load.
+	REFUSED, ///< The pool refused the attempt because of overload.
+	FAILED, ///< Any other end; says nothing about load.
 };
 
-/** What changed at a gate: who may go in, who has to give up. */
+/** Changes at a gate that its caller has to act on: requests that were granted a slot, and requests that were dropped. */
 struct gate_changes {
 	std::vector<request_id> admitted;
-	std::vector<dropped_request> expired; ///< Waited past their start_by.
-	std::vector<dropped_request> crowded_out; ///< Had to leave a full queue.
+	std::vector<dropped_request> expired; ///< Dropped, because they waited past their start_by.
+	std::vector<dropped_request> crowded_out; ///< Dropped from a full queue.
 };
 
-/** Guards one pool for this node. */
+/** Limits this node's concurrency at one pool, queues the requests above the limit and limits retries and hedges. */
 class pool_gate {
 	concurrency_limit _limit;
 	fair_queue _queue;
 	share_budget _retries;
-	share_budget _spare_retries; ///< Further retries while the pool has room to spare.
+	share_budget _spare_retries; ///< Additional retries while the pool has spare capacity.
 	share_budget _hedges;
-	double _refused_share = 0.0; ///< Faded share of attempts that were refused.
-	double _seconds_per_place = 0.0; ///< Faded time a place is held.
+	double _refused_share = 0.0; ///< Moving average of the share of refused attempts.
+	double _seconds_per_slot = 0.0; ///< Moving average of the time for which a slot is held_seconds.
 
 	void _fill(instant p_now, gate_changes &r_changes);
-	bool _has_spare_room() const;
-	void _note_refusal(double p_refused);
+	bool _has_spare_capacity() const;
+	void _record_refusal(double p_sample);
 
 public:
-	/** @param p_queue_capacity most requests that wait here. */
+	/** @param p_queue_capacity maximum number of queued requests. */
 	explicit pool_gate(std::size_t p_queue_capacity);
 
-	/** Changes the shares of extra work: retries at any time, further ones while there is room to spare, and hedges. */
+	/** Sets the shares of extra attempts per success: retries, additional retries while there is spare capacity, and hedges. */
 	void set_shares(double p_retry_share, double p_spare_retry_share, double p_hedge_share);
 
-	/** A request asks for a place. */
+	/** Queues a request for a slot; it may be granted at once. */
 	gate_changes enter(const queued_request &p_request, instant p_now);
 
 	/**
-	 * A request gives its place back.
-	 * @param p_held how long it held it. @param p_relative_latency latency over usual, for SUCCEEDED.
+	 * Releases a request's slot.
+	 * @param p_held_time time for which it was held_seconds.
+	 * @param p_relative_latency latency divided by the typical one; used for SUCCEEDED.
 	 */
-	gate_changes leave(place_use p_use, duration p_held, double p_relative_latency, instant p_now);
+	gate_changes leave(place_use p_use, duration p_held_time, double p_relative_latency, instant p_now);
 
-	/** A waiting request gives up, e.g. as its caller has gone. */
+	/** Removes a waiting request, e.g. because its caller disconnected. Returns whether it was waiting. */
 	bool abandon(const request_id &p_id) { return _queue.remove(p_id); }
 
-	/** Drops what can no longer make it. */
+	/** Drops waiting requests that are past their start_by. */
 	gate_changes expire(instant p_now);
 
-	/** Whether a retry may be made now; spends the budget. Never while the pool refuses for overload. */
+	/** Returns whether a retry may be sent now and uses the budget. Always false while the pool refuses because of overload. */
 	bool may_retry(instant p_now);
 
-	/** Whether a hedge may be made now; spends the budget. Never while requests wait. */
+	/** Returns whether a hedge may be sent now and uses the budget. Always false while requests wait or the pool is overloaded. */
 	bool may_hedge(instant p_now);
 
-	/** An attempt beyond the first ended in a refusal; counts against retries. */
-	void on_attempt_refused() { _note_refusal(1.0); }
+	/** Records the refusal of an attempt after the first one; it raises the share of refusals that blocks retries. */
+	void on_attempt_refused() { _record_refusal(1.0); }
 
-	/** Time a newcomer of a customer would likely wait. */
+	/** Estimates how long a new request of a customer would wait. */
 	duration estimate_wait(const std::string &p_customer, double p_weight) const;
 
 	std::size_t get_waiting() const { return _queue.get_size(); }
--- a/servers/limits/share_budget.cpp
+++ b/servers/limits/share_budget.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: share_budget.cpp
- * Budget for extra work, as a share of successful work.
+ * Budget for extra attempts, as a share of successful requests.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -12,24 +12,24 @@
 
 namespace calicoscale {
 
-share_budget::share_budget(double p_share, double p_highest, double p_reserve_per_second) :
-		_share(p_share), _balance(1.0), _highest(p_highest), _reserve_per_second(p_reserve_per_second) {
+share_budget::share_budget(double p_share, double p_max_balance, double p_reserve_per_second) :
+		_share(p_share), _balance(1.0), _max_balance(p_max_balance), _reserve_per_second(p_reserve_per_second) {
 }
 
 void share_budget::_refill(instant p_now) {
-	if (p_now <= _updated) {
+	if (p_now <= _updated_at) {
 		return;
 	}
-	// The reserve never lifts the balance above one unit: it covers a quiet node, not a busy one.
+	// The refill by time never raises the balance above one unit, as it is meant for nodes with few requests only.
 	if (_balance < 1.0) {
-		_balance = std::min(1.0, _balance + _reserve_per_second * to_seconds(p_now - _updated));
+		_balance = std::min(1.0, _balance + _reserve_per_second * to_seconds(p_now - _updated_at));
 	}
-	_updated = p_now;
+	_updated_at = p_now;
 }
 
 void share_budget::on_success(instant p_now) {
 	_refill(p_now);
-	_balance = std::min(_highest, _balance + _share);
+	_balance = std::min(_max_balance, _balance + _share);
 }
 
 bool share_budget::try_spend(instant p_now) {
--- a/servers/limits/stage_times.h
+++ b/servers/limits/stage_times.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: stage_times.h
- * Learnt service times of stages, by pool and size class.
+ * Estimated service times of stages, by pool and size class.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -17,20 +17,20 @@
 
 namespace calicoscale {
 
-/** What was timed. */
+/** Kind of a measured time. */
 enum class timed_part {
-	WHOLE, ///< From start to the complete answer.
-	FIRST_TOKEN, ///< From start to the first token of a stream.
-	UNLOADED, ///< As WHOLE, but remembered for long; low quantiles tell the time without queueing.
+	WHOLE, ///< From the start to the complete answer.
+	FIRST_TOKEN, ///< From the start to the first token of a stream.
+	UNLOADED, ///< As WHOLE, but with a long half-life; its low quantiles estimate the time without queueing.
 };
 
-/** Inputs are sorted into classes by powers of four, as cost grows with size. */
+/** Class of input sizes; the bounds of classes are spaced by a factor of four, as the cost grows with the size. */
 using size_class = std::uint8_t;
 
-/** Class of an input of so many bytes plus tokens to generate. */
+/** Returns the class of an input of p_input_bytes that generates up to p_max_tokens tokens. */
 size_class get_size_class(std::size_t p_input_bytes, int p_max_tokens);
 
-/** Sketches of service times. */
+/** Quantile sketches of service times by pool, kind and size class. */
 class stage_times {
 	struct key {
 		std::string pool;
@@ -42,16 +42,16 @@
 	std::map<key, quantile_sketch> _sketches;
 
 public:
-	/** Adds one observed time. */
+	/** Adds one measured time. */
 	void add(const std::string &p_pool, timed_part p_part, size_class p_size, duration p_elapsed, instant p_now);
 
 	/**
-	 * Quantile of a stage's time. Where the class has too few samples the nearest class with enough stands in;
-	 * zero when nothing is known of the pool.
+	 * Returns a quantile of a stage's time. If the class has too few samples, the nearest class with enough is used
+	 * instead; zero if the pool has none.
 	 */
 	duration estimate(const std::string &p_pool, timed_part p_part, size_class p_size, double p_quantile, instant p_now) const;
 
-	/** Number of sketches held. */
+	/** Returns the number of stored sketches. */
 	std::size_t get_sketch_count() const { return _sketches.size(); }
 };
 
--- a/servers/request/request_action.h
+++ b/servers/request/request_action.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: request_action.h
- * What a request's flow asks its driver to do.
+ * Actions that a request_flow returns for its driver to carry out.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -20,71 +20,71 @@
 
 namespace calicoscale {
 
-/** How a stream attempt begins. */
+/** How an attempt starts its stream. */
 enum class stream_start {
-	FRESH, ///< From the prompt.
-	RESUME, ///< Same stream on the same endpoint, from the next offset.
-	CONTINUE, ///< Another endpoint, with prompt and the tokens sent so far.
+	FRESH, ///< Starts from the prompt.
+	RESUME, ///< Reads the same stream at the same endpoint from the next offset on.
+	CONTINUE, ///< Sends the prompt and the tokens received so far to another endpoint.
 };
 
-/** What the cost of an attempt bought. */
+/** Category under which the cost of an attempt is recorded. */
 enum class cost_use {
-	USEFUL, ///< Its result is part of a complete answer in time.
-	RETRIED, ///< Failed; another attempt took over.
-	HEDGED, ///< Overtaken by a second attempt.
+	USEFUL, ///< Its result is part of an answer that was completed in time.
+	RETRIED, ///< It failed and another attempt followed.
+	HEDGED, ///< Another attempt of the hedged pair finished first, or the hedge failed.
 	LATE, ///< The request missed its deadline.
-	CANCELLED, ///< The caller went away.
+	CANCELLED, ///< The caller disconnected.
 	FAILED, ///< The request failed otherwise.
 };
 
-/** Name of a use, e.g. "useful". */
+/** Returns the name of a use, e.g. "useful". */
 std::string_view get_name(cost_use p_use);
-/** Looks a use up by name; FAILED when unknown. */
+/** Returns the use with a name; FAILED if unknown. */
 cost_use find_cost_use(std::string_view p_name);
 
-/** Ask the stage's pool gate for a place; answered by on_place_given or on_place_denied. */
+/** Requests a slot from the stage's pool gate; the driver answers with on_place_given or on_place_denied. */
 struct ask_place {
 	std::size_t stage = 0;
-	instant start_by{};
+	instant start_by{}; ///< Latest start at which the request can still meet its deadline.
 };
 
-/** Give the place back. */
+/** Releases the slot. */
 struct return_place {
 	std::size_t stage = 0;
 	place_use use = place_use::FAILED;
-	duration held = duration::zero();
-	double relative_latency = 1.0;
+	duration held = duration::zero(); ///< Time for which the slot was held.
+	double relative_latency = 1.0; ///< Latency divided by the typical one without queueing.
 };
 
-/** Take back an ask_place that was not answered. */
+/** Cancels an ask_place that wasn't answered yet. */
 struct withdraw_place {
 	std::size_t stage = 0;
 };
 
-/** Send one attempt to an endpoint. */
+/** Sends one attempt to an endpoint. */
 struct start_attempt {
 	attempt_id id;
 	endpoint_id endpoint = 0;
-	instant give_up_at{};
+	instant give_up_at{}; ///< Time-out of the attempt.
 	stream_start start = stream_start::FRESH;
-	std::uint32_t from_offset = 0; ///< Tokens that are there already.
-	attempt_id resume_of; ///< For RESUME: the attempt whose stream goes on.
+	std::uint32_t from_offset = 0; ///< Number of tokens that were already received.
+	attempt_id resume_of; ///< For RESUME: the attempt whose stream is resumed.
 };
 
-/** Stop an attempt; its endpoint should stop working on it. */
+/** Cancels an attempt; its endpoint should stop executing it. */
 struct cancel_attempt {
 	attempt_id id;
-	attempt_id settle_id; ///< Attempt that the endpoint knows the work by; differs for a resumed stream.
+	attempt_id settle_id; ///< Attempt id under which the endpoint executes the work; differs from id for a resumed stream.
 	cost_use use = cost_use::HEDGED;
 };
 
-/** Pass tokens of the last stage on to the caller. */
+/** Forwards a token of the last stage to the caller. */
 struct forward_token {
 	std::uint32_t sequence = 0;
 	std::string token;
 };
 
-/** Book the cost of a finished attempt. */
+/** Records the cost of a finished attempt. */
 struct book_cost {
 	std::size_t stage = 0;
 	std::uint32_t attempt = 0;
@@ -92,19 +92,19 @@
 	double units = 0.0;
 };
 
-/** The cost of a failed attempt is unknown: ask the endpoint, then book it. */
+/** Requests the unknown cost of a failed attempt from its endpoint and records it. */
 struct settle_cost {
-	attempt_id id; ///< Attempt that the endpoint knows the work by.
+	attempt_id id; ///< Attempt id under which the endpoint executed the work.
 	endpoint_id endpoint = 0;
 	cost_use use = cost_use::FAILED;
 };
 
-/** Call on_wake at this time; replaces the one asked for before. */
+/** Schedules a call of on_wake; replaces the previously scheduled one. */
 struct wake_at {
 	instant at{};
 };
 
-/** One stage of a complete answer. */
+/** Statistics of one completed stage. */
 struct stage_report {
 	std::string stage;
 	std::string pool;
@@ -113,14 +113,14 @@
 	std::uint32_t attempts = 0;
 };
 
-/** The end of the request; nothing follows but settling. */
+/** Finishes the request; only settle_cost may follow. */
 struct finish_request {
 	outcome result;
-	std::string output; ///< JSON text of the answer; with a stream also sent as tokens before.
+	std::string output; ///< JSON text of the answer; for a stream its tokens were also forwarded before.
 	std::vector<stage_report> stages;
 	std::uint32_t token_count = 0;
-	std::string digest; ///< Over the last stage's tokens.
-	duration retry_after = duration::zero(); ///< Zero when coming back does not help.
+	std::string digest; ///< Digest of the last stage's tokens.
+	duration retry_after = duration::zero(); ///< Time after which the caller may retry; zero if a retry doesn't help.
 };
 
 using request_action = std::variant<ask_place, return_place, withdraw_place, start_attempt, cancel_attempt, forward_token, book_cost, settle_cost, wake_at, finish_request>;
--- a/servers/request/request_fingerprint.cpp
+++ b/servers/request/request_fingerprint.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: request_fingerprint.cpp
- * What makes two requests one: the same content from the same customer, whatever their ids and deadlines.
+ * Recognises repeated requests: same content from the same customer, independent of ids and deadlines.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
--- a/servers/request/request_fingerprint.h
+++ b/servers/request/request_fingerprint.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: request_fingerprint.h
- * What makes two requests one: the same content from the same customer, whatever their ids and deadlines.
+ * Recognises repeated requests: same content from the same customer, independent of ids and deadlines.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,7 +18,7 @@
 
 namespace calicoscale {
 
-/** The parts of a request that come again with it. Other headers, ids and deadlines among them, differ from try to try. */
+/** The parts of a request that stay the same if it is sent again. Other headers, such as ids and deadlines, may differ. */
 struct request_content {
 	std::string_view method;
 	std::string_view host;
@@ -28,22 +28,22 @@
 };
 
 /**
- * Names a request by its content. The digest of the content is one that a caller cannot bring about at will, or one customer
- * could have the requests of another taken for its own.
+ * Identifies a request by its content. The content digest is collision-resistant: otherwise a customer could craft requests that
+ * are mistaken for those of another customer.
  */
 struct request_fingerprint {
-	std::uint64_t place = 0; ///< Of all but the body; cheap, so that bodies are read only where the place is known.
+	std::uint64_t place = 0; ///< Hash of everything but the body. It is cheap, so that bodies are hashed only if this value is already known.
 	half_digest content;
 	auto operator<=>(const request_fingerprint &p_other) const = default;
 };
 
-/** Hash of all but the body. */
+/** Returns the hash of everything but the body. */
 std::uint64_t hash_place(const request_content &p_content);
 
-/** Reads the whole content: about 1 ms for a megabyte. */
+/** Computes the fingerprint of the complete content, which takes about 1 ms per megabyte. */
 request_fingerprint make_fingerprint(const request_content &p_content);
 
-/** 16 hexadecimal digits, for logs. */
+/** Formats the upper half of the content digest as 16 hexadecimal digits, for logs. */
 std::string to_string(const request_fingerprint &p_fingerprint);
 
 } // namespace calicoscale
--- a/servers/request/request_flow.cpp
+++ b/servers/request/request_flow.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: request_flow.cpp
- * One request through its stages.
+ * State machine that takes one request through its stages.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -15,21 +15,21 @@
 
 namespace {
 
-constexpr std::uint32_t MOST_ATTEMPTS = 4;
-/** How often a request goes back to the queue of a pool that was busy. */
-constexpr std::uint32_t MOST_REQUEUES = 6;
+constexpr std::uint32_t MAX_ATTEMPTS = 4;
+/** How often a request may return to the queue of a busy pool. */
+constexpr std::uint32_t MAX_REQUEUES = 6;
 constexpr duration BACK_OFF_BASE = std::chrono::milliseconds(5);
-constexpr duration BACK_OFF_LONGEST = std::chrono::milliseconds(200);
-/** An attempt may take this multiple of the 95th percentile before another replica is tried. */
-constexpr int PATIENCE = 3;
-constexpr duration SHORTEST_PATIENCE = std::chrono::milliseconds(100);
-constexpr duration SHORTEST_STALL = std::chrono::milliseconds(400);
-constexpr duration UNKNOWN_STALL = std::chrono::seconds(2);
-/** Part of the stage's time that a first attempt may use while nothing is learnt yet. */
-constexpr double UNKNOWN_PART = 0.6;
+constexpr duration MAX_BACK_OFF = std::chrono::milliseconds(200);
+/** An attempt times out after this multiple of the 95th percentile; then another endpoint is tried. */
+constexpr int TIME_OUT_FACTOR = 3;
+constexpr duration MIN_ATTEMPT_TIME_OUT = std::chrono::milliseconds(100);
+constexpr duration MIN_STALL_TIME_OUT = std::chrono::milliseconds(400);
+constexpr duration DEFAULT_STALL_TIME_OUT = std::chrono::seconds(2);
+/** Fraction of the stage's remaining time that an attempt may use while no estimate is available. */
+constexpr double DEFAULT_TIME_FRACTION = 0.6;
 constexpr duration RETRY_AFTER_SHORT = std::chrono::milliseconds(100);
 
-place_use get_place_use(const outcome &p_result) {
+place_use get_slot_outcome(const outcome &p_result) {
 	return p_result.why == reason::REFUSED_BUSY ? place_use::REFUSED : place_use::FAILED;
 }
 
@@ -59,7 +59,7 @@
 		_plan(std::move(p_plan)), _hooks(std::move(p_hooks)) {
 }
 
-duration request_flow::_get_later_need(instant p_now) const {
+duration request_flow::_estimate_later_stages(instant p_now) const {
 	duration need = duration::zero();
 	for (std::size_t stage = _stage + 1; stage < _plan.stages.size(); stage++) {
 		need += _hooks.estimate(_plan, stage, p_now).usual;
@@ -68,31 +68,31 @@
 }
 
 instant request_flow::_get_stage_end(instant p_now) const {
-	const instant end = _plan.deadline - _get_later_need(p_now);
-	// When the later stages are unlikely to fit anyway this stage still gets half of what is left.
+	const instant end = _plan.deadline - _estimate_later_stages(p_now);
+	// Even if the later stages are unlikely to fit, this stage gets half of the remaining time.
 	const instant half = p_now + (_plan.deadline - p_now) / 2;
 	return std::max(end, half);
 }
 
 instant request_flow::_get_give_up(instant p_now) const {
 	const instant stage_end = _get_stage_end(p_now);
-	if (!_current().repeatable || _attempts + 1 >= MOST_ATTEMPTS) {
+	if (!_current().repeatable || _attempts + 1 >= MAX_ATTEMPTS) {
 		return stage_end;
 	}
 	if (_estimate.slow > duration::zero()) {
-		const duration patience = std::max(SHORTEST_PATIENCE, _estimate.slow * PATIENCE);
-		return std::min(stage_end, p_now + patience);
+		const duration time_out = std::max(MIN_ATTEMPT_TIME_OUT, _estimate.slow * TIME_OUT_FACTOR);
+		return std::min(stage_end, p_now + time_out);
 	}
 	const double left = static_cast<double>((stage_end - p_now).count());
-	return p_now + duration(static_cast<duration::rep>(left * UNKNOWN_PART));
+	return p_now + duration(static_cast<duration::rep>(left * DEFAULT_TIME_FRACTION));
 }
 
 instant request_flow::_get_stall_end(const open_attempt &p_attempt) const {
-	duration patience = UNKNOWN_STALL;
+	duration time_out = DEFAULT_STALL_TIME_OUT;
 	if (_estimate.slow_first_token > duration::zero()) {
-		patience = std::max(SHORTEST_STALL, _estimate.slow_first_token * PATIENCE);
+		time_out = std::max(MIN_STALL_TIME_OUT, _estimate.slow_first_token * TIME_OUT_FACTOR);
 	}
-	return p_attempt.last_progress + patience;
+	return p_attempt.last_progress + time_out;
 }
 
 request_flow::open_attempt *request_flow::_find_open(const attempt_id &p_id) {
@@ -100,7 +100,7 @@
 	return found == _open.end() ? nullptr : &*found;
 }
 
-void request_flow::_drop_open(const attempt_id &p_id) {
+void request_flow::_remove_open(const attempt_id &p_id) {
 	std::erase_if(_open, [&p_id](const open_attempt &p_attempt) { return p_attempt.id == p_id; });
 }
 
@@ -127,17 +127,17 @@
 	_resume_tried = false;
 	_has_hedged = false;
 	_stage_may_have_run = false;
-	_asks_again = false;
+	_requests_slot_again = false;
 	_requeues = 0;
-	_attempts_of_refused = 0;
+	_attempts_before_requeue = 0;
 	_stage_started = p_now;
 	_estimate = _hooks.estimate(_plan, _stage, p_now);
-	_ask_place(p_now, r_actions);
+	_request_slot(p_now, r_actions);
 }
 
-void request_flow::_ask_place(instant p_now, actions &r_actions) {
+void request_flow::_request_slot(instant p_now, actions &r_actions) {
 	_phase = phase::WAITING;
-	const instant start_by = _plan.deadline - _get_later_need(p_now) - _estimate.usual;
+	const instant start_by = _plan.deadline - _estimate_later_stages(p_now) - _estimate.usual;
 	r_actions.emplace_back(ask_place{ _stage, std::max(start_by, p_now) });
 	r_actions.emplace_back(wake_at{ _plan.deadline });
 }
@@ -148,8 +148,8 @@
 		return result;
 	}
 	_phase = phase::RUNNING;
-	_holds_place = true;
-	_place_given = p_now;
+	_holds_slot = true;
+	_slot_granted_at = p_now;
 	if (p_now >= _plan.deadline) {
 		_give_up(reason::DEADLINE_PASSED, p_now, result);
 		return result;
@@ -186,8 +186,8 @@
 		_resume_tried = true;
 	} else {
 		const std::optional<endpoint_id> chosen = _choose(p_now);
-		const bool is_useless = p_is_hedge && chosen && !_open.empty() && *chosen == _open.front().endpoint;
-		if (is_useless) {
+		const bool is_same_endpoint = p_is_hedge && chosen && !_open.empty() && *chosen == _open.front().endpoint;
+		if (is_same_endpoint) {
 			return;
 		}
 		if (!chosen) {
@@ -247,8 +247,8 @@
 		return;
 	}
 	_has_hedged = true;
-	const bool still_fits = p_now + _estimate.usual + _get_later_need(p_now) <= _plan.deadline;
-	if (!still_fits || _attempts >= MOST_ATTEMPTS || !_hooks.may_hedge(_current().pool, p_now)) {
+	const bool still_fits = p_now + _estimate.usual + _estimate_later_stages(p_now) <= _plan.deadline;
+	if (!still_fits || _attempts >= MAX_ATTEMPTS || !_hooks.may_hedge(_current().pool, p_now)) {
 		return;
 	}
 	_launch(p_now, true, r_actions);
@@ -257,7 +257,7 @@
 void request_flow::_cancel_others(const attempt_id &p_winner, actions &r_actions) {
 	for (const open_attempt &attempt : _open) {
 		if (attempt.id != p_winner) {
-			// What a cancelled attempt did is unknown, so the request can no longer be called not run.
+			// It is unknown whether a cancelled attempt ran, so the request's verdict can't be NOT_RUN any more.
 			_tally.add(verdict::MAY_HAVE_RUN);
 			r_actions.emplace_back(cancel_attempt{ attempt.id, attempt.settle_id, cost_use::HEDGED });
 		}
@@ -300,7 +300,7 @@
 	return result;
 }
 
-bool request_flow::_is_stream_whole(const attempt_end &p_end) const {
+bool request_flow::_is_stream_complete(const attempt_end &p_end) const {
 	return p_end.token_count == _tokens.size() && p_end.digest == _digest.to_string();
 }
 
@@ -314,7 +314,7 @@
 	const open_attempt attempt = *found;
 	attempt_end end = p_end;
 	const bool is_complete = end.result.what == verdict::COMPLETED;
-	if (is_complete && _is_stream() && !_is_stream_whole(end)) {
+	if (is_complete && _is_stream() && !_is_stream_complete(end)) {
 		end.result = outcome{ verdict::MAY_HAVE_RUN, reason::TRUNCATED };
 	}
 	if (end.result.what == verdict::COMPLETED) {
@@ -328,24 +328,24 @@
 void request_flow::_complete_stage(const open_attempt &p_attempt, const attempt_end &p_end, instant p_now, actions &r_actions) {
 	_tally.add(verdict::COMPLETED);
 	_cancel_others(p_attempt.id, r_actions);
-	_drop_open(p_attempt.id);
+	_remove_open(p_attempt.id);
 	_costs.push_back(known_cost{ _stage, p_attempt.id.attempt, p_end.units });
 	const duration elapsed = p_now - p_attempt.started;
 	double relative = 1.0;
 	if (_estimate.unloaded > duration::zero()) {
 		relative = static_cast<double>(elapsed.count()) / static_cast<double>(_estimate.unloaded.count());
 	}
-	_holds_place = false;
-	r_actions.emplace_back(return_place{ _stage, place_use::SUCCEEDED, p_now - _place_given, relative });
+	_holds_slot = false;
+	r_actions.emplace_back(return_place{ _stage, place_use::SUCCEEDED, p_now - _slot_granted_at, relative });
 	_reports.push_back(stage_report{ _current().name, _current().pool, p_now - _stage_started, p_end.units, _attempts });
 	if (_is_stream()) {
 		std::string text;
 		for (const std::string &token : _tokens) {
 			text += token;
 		}
-		_previous = quote(text);
+		_previous_result = quote(text);
 	} else {
-		_previous = p_end.output;
+		_previous_result = p_end.output;
 	}
 	if (p_now >= _plan.deadline) {
 		_finish(outcome{ _tally.get_verdict(), reason::DEADLINE_PASSED }, p_now, r_actions);
@@ -363,7 +363,7 @@
 	_tally.add(p_end.result.what);
 	_stage_may_have_run = _stage_may_have_run || p_end.result.what != verdict::NOT_RUN;
 	_last_failure = p_end.result;
-	_drop_open(p_attempt.id);
+	_remove_open(p_attempt.id);
 	const bool is_broken_stream = _is_stream() && p_attempt.streamed && p_end.result.why == reason::CONNECTION_LOST;
 	if (is_broken_stream) {
 		_resume_endpoint = p_attempt.endpoint;
@@ -384,16 +384,16 @@
 	}
 }
 
-void request_flow::_settle_failed(const open_attempt &p_attempt, const attempt_end &p_end, bool p_goes_on, actions &r_actions) const {
-	cost_use use = p_goes_on ? cost_use::RETRIED : cost_use::FAILED;
+void request_flow::_settle_failed(const open_attempt &p_attempt, const attempt_end &p_end, bool p_continues, actions &r_actions) const {
+	cost_use use = p_continues ? cost_use::RETRIED : cost_use::FAILED;
 	if (p_attempt.is_hedge) {
 		use = cost_use::HEDGED;
 	}
 	if (p_end.cost_known && p_end.units > 0.0) {
 		r_actions.emplace_back(book_cost{ _stage, p_attempt.id.attempt, use, p_end.units });
 	}
-	// A stream that is about to be resumed goes on under its first attempt, which must not be stopped by settling it.
-	const bool resumes = _resume_endpoint != 0 && !_resume_tried && p_goes_on;
+	// A stream that will be resumed continues under the id of its first attempt; settling that attempt would stop it.
+	const bool resumes = _resume_endpoint != 0 && !_resume_tried && p_continues;
 	const bool has_worked = p_end.result.what != verdict::NOT_RUN || p_attempt.start == stream_start::RESUME;
 	if (has_worked && !p_end.cost_known && !resumes) {
 		r_actions.emplace_back(settle_cost{ p_attempt.settle_id, p_attempt.endpoint, use });
@@ -401,37 +401,37 @@
 }
 
 bool request_flow::_may_try_again(const open_attempt &p_attempt, const attempt_end &p_end, instant p_now) {
-	// An endpoint that refuses to resume has lost the stream; that says nothing against the input.
+	// An endpoint that refuses to resume has lost the stream; it doesn't mean that the input is invalid.
 	const bool is_input_bad = p_end.result.why == reason::REFUSED_INPUT && p_attempt.start != stream_start::RESUME;
-	if (is_input_bad || _attempts - _attempts_of_refused >= MOST_ATTEMPTS) {
+	if (is_input_bad || _attempts - _attempts_before_requeue >= MAX_ATTEMPTS) {
 		return false;
 	}
 	const bool resumes = _resume_endpoint != 0 && !_resume_tried;
-	// Resuming reads the rest of one execution, so it is open to an unrepeatable stage as well.
+	// Resuming reads the remainder of the same execution, so it is allowed for an unrepeatable stage as well.
 	if (!_current().repeatable && _stage_may_have_run && !resumes) {
 		return false;
 	}
-	if (p_now + _get_later_need(p_now) >= _plan.deadline) {
+	if (p_now + _estimate_later_stages(p_now) >= _plan.deadline) {
 		return false;
 	}
-	const bool is_free = p_end.result.why == reason::CONNECT_FAILED || p_end.result.why == reason::REFUSED_LEAVING || resumes;
-	return is_free || _hooks.may_retry(_current().pool, p_now);
+	const bool needs_no_budget = p_end.result.why == reason::CONNECT_FAILED || p_end.result.why == reason::REFUSED_LEAVING || resumes;
+	return needs_no_budget || _hooks.may_retry(_current().pool, p_now);
 }
 
 bool request_flow::_may_queue_again(const attempt_end &p_end, instant p_now) {
-	// A busy endpoint ran nothing, and the refusal has narrowed the gate: waiting for a place again adds no work.
-	const bool still_fits = p_now + _estimate.usual + _get_later_need(p_now) < _plan.deadline;
+	// A busy endpoint executed nothing, and its refusal lowers the gate's limit, so queueing again adds no load.
+	const bool still_fits = p_now + _estimate.usual + _estimate_later_stages(p_now) < _plan.deadline;
 	const bool may_run = _current().repeatable || !_stage_may_have_run;
-	return p_end.result.why == reason::REFUSED_BUSY && may_run && _requeues < MOST_REQUEUES && still_fits;
+	return p_end.result.why == reason::REFUSED_BUSY && may_run && _requeues < MAX_REQUEUES && still_fits;
 }
 
 void request_flow::_queue_again(instant p_now, actions &r_actions) {
 	_requeues++;
-	_attempts_of_refused = _attempts;
+	_attempts_before_requeue = _attempts;
 	_tried.clear();
-	_holds_place = false;
-	r_actions.emplace_back(return_place{ _stage, place_use::REFUSED, p_now - _place_given, 1.0 });
-	_asks_again = true;
+	_holds_slot = false;
+	r_actions.emplace_back(return_place{ _stage, place_use::REFUSED, p_now - _slot_granted_at, 1.0 });
+	_requests_slot_again = true;
 	_phase = phase::BACKING_OFF;
 	const double factor = std::exp2(static_cast<double>(std::min<std::uint32_t>(_requeues, 4))) * (0.5 + _hooks.draw());
 	_retry_at = p_now + duration(static_cast<duration::rep>(static_cast<double>(BACK_OFF_BASE.count()) * factor));
@@ -446,7 +446,7 @@
 		return;
 	}
 	const double factor = std::exp2(static_cast<double>(_retries - 1)) * _hooks.draw();
-	const duration wait = std::min(BACK_OFF_LONGEST, duration(static_cast<duration::rep>(BACK_OFF_BASE.count() * factor)));
+	const duration wait = std::min(MAX_BACK_OFF, duration(static_cast<duration::rep>(BACK_OFF_BASE.count() * factor)));
 	_phase = phase::BACKING_OFF;
 	_retry_at = p_now + wait;
 	_arm_timer(p_now, r_actions);
@@ -466,9 +466,9 @@
 		return result;
 	}
 	if (_phase == phase::BACKING_OFF) {
-		if (p_now >= _retry_at && _asks_again) {
-			_asks_again = false;
-			_ask_place(p_now, result);
+		if (p_now >= _retry_at && _requests_slot_again) {
+			_requests_slot_again = false;
+			_request_slot(p_now, result);
 		} else if (p_now >= _retry_at) {
 			_launch(p_now, false, result);
 		} else {
@@ -482,7 +482,7 @@
 		if (p_now < attempt.give_up_at && !has_stalled) {
 			continue;
 		}
-		// Cancelling settles the cost, so the failure is not settled a second time.
+		// The cancellation settles the cost, so the failure must not settle it again.
 		result.emplace_back(cancel_attempt{ attempt.id, attempt.settle_id, cost_use::RETRIED });
 		attempt_end end;
 		end.result = outcome{ verdict::MAY_HAVE_RUN, reason::TIMED_OUT };
@@ -512,7 +512,7 @@
 	return result;
 }
 
-cost_use request_flow::_get_waste_use(reason p_reason) const {
+cost_use request_flow::_get_cost_use(reason p_reason) const {
 	if (p_reason == reason::CALLER_GONE) {
 		return cost_use::CANCELLED;
 	}
@@ -523,7 +523,7 @@
 	if (_phase == phase::WAITING) {
 		r_actions.emplace_back(withdraw_place{ _stage });
 	}
-	const cost_use use = _get_waste_use(p_reason);
+	const cost_use use = _get_cost_use(p_reason);
 	for (const open_attempt &attempt : _open) {
 		_tally.add(verdict::MAY_HAVE_RUN);
 		r_actions.emplace_back(cancel_attempt{ attempt.id, attempt.settle_id, use });
@@ -533,13 +533,13 @@
 }
 
 void request_flow::_finish(const outcome &p_result, instant p_now, actions &r_actions) {
-	if (_holds_place) {
-		_holds_place = false;
-		r_actions.emplace_back(return_place{ _stage, get_place_use(_last_failure), p_now - _place_given, 1.0 });
+	if (_holds_slot) {
+		_holds_slot = false;
+		r_actions.emplace_back(return_place{ _stage, get_slot_outcome(_last_failure), p_now - _slot_granted_at, 1.0 });
 	}
 	_phase = phase::FINISHED;
 	for (const known_cost &cost : _costs) {
-		r_actions.emplace_back(book_cost{ cost.stage, cost.attempt, _get_waste_use(p_result.why), cost.units });
+		r_actions.emplace_back(book_cost{ cost.stage, cost.attempt, _get_cost_use(p_result.why), cost.units });
 	}
 	finish_request finish;
 	finish.result = p_result;
@@ -556,7 +556,7 @@
 	}
 	finish_request finish;
 	finish.result = outcome{ verdict::COMPLETED, reason::NONE };
-	finish.output = _previous;
+	finish.output = _previous_result;
 	finish.stages = _reports;
 	finish.token_count = static_cast<std::uint32_t>(_tokens.size());
 	finish.digest = _digest.to_string();
--- a/servers/request/request_plan.cpp
+++ b/servers/request/request_plan.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: request_plan.cpp
- * What a request is to do, fixed when it is admitted.
+ * Stages and parameters of a request, fixed when it is admitted.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
--- a/servers/request/request_plan.h
+++ b/servers/request/request_plan.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: request_plan.h
- * What a request is to do, fixed when it is admitted.
+ * Stages and parameters of a request, fixed when it is admitted.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -20,19 +20,19 @@
 
 namespace calicoscale {
 
-/** One stage as this request will run it. */
+/** One stage of a request with the steering rules applied. */
 struct stage_plan {
 	std::string name;
 	stage_kind kind = stage_kind::CALL;
 	std::string pool;
-	selector endpoints; ///< Endpoints that may serve, from steering rules.
+	selector endpoints; ///< Endpoints that may serve the stage, from steering rules.
 	bool repeatable = true;
 	bool hedgeable = false;
 	bool prefix_affinity = false;
 	int max_tokens = 0;
 };
 
-/** A whole request as admitted. */
+/** An admitted request with all its stages. */
 struct request_plan {
 	request_id id;
 	std::string customer;
@@ -42,12 +42,12 @@
 	std::vector<stage_plan> stages;
 	std::string input; ///< JSON text of the caller's input.
 	instant deadline{};
-	bool stream = false; ///< The caller wants the last stage's tokens as they come.
+	bool stream = false; ///< The caller receives the last stage's tokens as a stream.
 	std::uint64_t affinity_key = 0;
 	std::uint64_t configuration_version = 0;
 };
 
-/** A stage's size class for learnt times. */
+/** Returns the size class that selects the time estimates of a stage. */
 size_class get_size_class(const request_plan &p_plan, std::size_t p_stage);
 
 } // namespace calicoscale
--- a/servers/request/steering.cpp
+++ b/servers/request/steering.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: steering.cpp
- * Applies the configuration's rules to one request.
+ * Applies the configuration's steering rules to one request.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -16,7 +16,7 @@
 
 namespace {
 
-/** Bytes of the input that decide prefix affinity; system prompts and shared openings are about this long. */
+/** Length of the input's prefix that determines affinity; system prompts and shared openings are about this long. */
 constexpr std::size_t PREFIX_BYTES = 256;
 constexpr double HASH_RANGE = 18446744073709551616.0;
 
@@ -60,9 +60,9 @@
 }
 
 std::uint64_t make_affinity_key(const request_plan &p_plan) {
-	// The customer is part of the key, so that no two customers are drawn to one cache entry.
-	const std::string opening = p_plan.input.substr(0, PREFIX_BYTES);
-	return hash_bytes(p_plan.customer + "\n" + p_plan.pipeline + "\n" + opening) | 1U;
+	// The key includes the customer, so that requests of two customers aren't routed to the same cache entry.
+	const std::string prefix = p_plan.input.substr(0, PREFIX_BYTES);
+	return hash_bytes(p_plan.customer + "\n" + p_plan.pipeline + "\n" + prefix) | 1U;
 }
 
 } // namespace
--- a/servers/request/steering.h
+++ b/servers/request/steering.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: steering.h
- * Applies the configuration's rules to one request.
+ * Applies the configuration's steering rules to one request.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -16,7 +16,7 @@
 
 namespace calicoscale {
 
-/** What the door knows of a request before it is planned. */
+/** Properties of a request that are known before it is planned. */
 struct request_facts {
 	request_id id;
 	std::string customer;
@@ -26,13 +26,13 @@
 	bool stream = false;
 };
 
-/** Labels of a request that selectors match: customer, pipeline and priority, the customer's and the pipeline's own. */
+/** Returns the labels of a request that selectors match: customer, pipeline, priority, and the labels of the customer and the pipeline. */
 label_set make_request_labels(const customer_settings &p_customer, const pipeline_settings &p_pipeline);
 
-/** Plans a request; the customer and pipeline must be in the configuration. */
+/** Plans a request. @throws std::invalid_argument if the configuration lacks the customer or the pipeline. */
 request_plan make_plan(const configuration &p_configuration, std::uint64_t p_version, const request_facts &p_facts);
 
-/** Limits of a customer after the rules that match the customer alone. */
+/** Returns a customer's limits after applying the rules that match the customer's labels. */
 customer_limits get_limits(const configuration &p_configuration, const customer_settings &p_customer);
 
 } // namespace calicoscale
--- a/servers/rollout/call_share.h
+++ b/servers/rollout/call_share.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: call_share.h
- * Keeps the calls of one dispatcher to a version within its share.
+ * Limits the calls of one dispatcher to the target version to a share of all its calls.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -16,8 +16,8 @@
 namespace calicoscale {
 
 /**
- * Counts what one dispatcher called for since an order. A call carries pieces of many requests, so that its share is kept by
- * counting and not by choosing requests.
+ * Counts the items that one dispatcher has sent since an order. A call carries items of many requests, so the share is enforced
+ * by counting items and not by selecting requests.
  */
 class call_share {
 	log_position _order;
@@ -25,7 +25,7 @@
 	double _at_target = 0.0;
 
 public:
-	/** A newer order begins to count anew. */
+	/** Sets the order in force; another order resets the counts. */
 	void set_order(const log_position &p_order) {
 		if (p_order != _order) {
 			*this = call_share();
@@ -33,12 +33,12 @@
 		}
 	}
 
-	/** Whether a call of so many pieces to the target keeps within a share of all. */
-	bool has_place(std::size_t p_pieces, double p_share) const { return p_share >= 1.0 || _at_target + static_cast<double>(p_pieces) <= p_share * _all; }
+	/** Returns whether a call of p_items items to the target stays within p_share of all items. */
+	bool has_place(std::size_t p_items, double p_share) const { return p_share >= 1.0 || _at_target + static_cast<double>(p_items) <= p_share * _all; }
 
-	void add(std::size_t p_pieces, bool p_is_at_target) {
-		_all += static_cast<double>(p_pieces);
-		_at_target += p_is_at_target ? static_cast<double>(p_pieces) : 0.0;
+	void add(std::size_t p_items, bool p_is_at_target) {
+		_all += static_cast<double>(p_items);
+		_at_target += p_is_at_target ? static_cast<double>(p_items) : 0.0;
 	}
 };
 
--- a/servers/rollout/rollout.cpp
+++ b/servers/rollout/rollout.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: rollout.cpp
- * One service's roll-out, as one node knows it.
+ * State of one service's roll-out at one node.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -14,10 +14,10 @@
 
 namespace {
 
-/** Answers of the target before its share rises, unless the time presses. */
-constexpr std::uint32_t LEAST_ANSWERS = 20;
-/** Nodes that are away for a moment only are counted again by then. */
-constexpr duration LEAST_QUIET = std::chrono::seconds(1);
+/** Answers of the target that are required before its share rises; waived from the midpoint between the regular start of the rise and the deadline on. */
+constexpr std::uint32_t MIN_ANSWERS = 20;
+/** Long enough for nodes that were disconnected only briefly to be counted again. */
+constexpr duration MIN_QUIET_TIME = std::chrono::seconds(1);
 
 } // namespace
 
@@ -26,18 +26,18 @@
 	_begin(p_order, p_now);
 }
 
-void rollout::_begin(const rollout_order &p_order, instant p_learnt_at) {
-	const bool serves_by_now = _state == rollout_state::COMPLETED;
-	if (!_order.target_version.empty() && !serves_by_now) {
-		_barred.insert(_order.target_version);
+void rollout::_begin(const rollout_order &p_order, instant p_learned_at) {
+	const bool was_completed = _state == rollout_state::COMPLETED;
+	if (!_order.target_version.empty() && !was_completed) {
+		_blocked_versions.insert(_order.target_version);
 	}
 	if (!p_order.is_withdrawn) {
-		_barred.erase(p_order.target_version);
-	} else if (!p_order.target_version.empty() && !(serves_by_now && p_order.target_version == _order.target_version)) {
-		_barred.insert(p_order.target_version);
+		_blocked_versions.erase(p_order.target_version);
+	} else if (!p_order.target_version.empty() && !(was_completed && p_order.target_version == _order.target_version)) {
+		_blocked_versions.insert(p_order.target_version);
 	}
 	_order = p_order;
-	_learnt_at = p_learnt_at;
+	_learned_at = p_learned_at;
 	_is_age_estimated = false;
 	_state = rollout_state::IN_PROGRESS;
 	_is_confirmed = false;
@@ -55,11 +55,11 @@
 	}
 	_state = p_state;
 	if (p_state == rollout_state::ROLLED_BACK) {
-		_barred.insert(_order.target_version);
+		_blocked_versions.insert(_order.target_version);
 	}
 	if (p_state == rollout_state::COMPLETED) {
-		_barred.insert(_versions.begin(), _versions.end());
-		_barred.erase(_order.target_version);
+		_blocked_versions.insert(_versions.begin(), _versions.end());
+		_blocked_versions.erase(_order.target_version);
 	}
 }
 
@@ -67,7 +67,7 @@
 	if (p_order.at <= _order.at) {
 		return false;
 	}
-	// Written again after the log came back from an older copy.
+	// The operator wrote the order again after the log was restored from an older copy.
 	const bool is_same = p_order.at.era != _order.at.era && !p_order.is_withdrawn && !_order.is_withdrawn && p_order.target_version == _order.target_version && p_order.time == _order.time;
 	if (is_same) {
 		_order.at = p_order.at;
@@ -78,72 +78,72 @@
 	return true;
 }
 
-void rollout::_take_told_age(const told_rollout &p_told, instant p_now) {
-	// A node that starts where others went on must not move them by a time of day that was set.
+void rollout::_apply_reported_age(const told_rollout &p_told, instant p_now) {
+	// A node that has just restarted must not change the age at running nodes because its time of day was set.
 	const bool is_known = _is_confirmed && !_is_age_estimated;
 	if (is_known && p_told.is_age_estimated) {
 		return;
 	}
-	const instant learnt_at = p_now - p_told.age;
+	const instant learned_at = p_now - p_told.age;
 	const bool is_better_known = _is_age_estimated && p_told.is_confirmed && !p_told.is_age_estimated;
-	if (is_better_known || learnt_at < _learnt_at) {
-		_learnt_at = learnt_at;
+	if (is_better_known || learned_at < _learned_at) {
+		_learned_at = learned_at;
 		_is_age_estimated = p_told.is_age_estimated;
 	}
 }
 
-void rollout::_take_stored_age(const rollout_status &p_status, instant p_now) {
+void rollout::_apply_stored_age(const rollout_status &p_status, instant p_now) {
 	const bool is_known = _is_confirmed && !_is_age_estimated;
 	if (is_known || !p_status.age) {
 		return;
 	}
-	// Beyond the order's time a state of another era may be that of an earlier order to the same version.
+	// A state of another era that is older than the order's time may belong to an earlier order to the same version.
 	if (p_status.order.era != _order.at.era && *p_status.age >= _order.time) {
 		return;
 	}
-	const instant learnt_at = p_now - std::min(*p_status.age, _order.time);
-	if (learnt_at < _learnt_at) {
-		_learnt_at = learnt_at;
+	const instant learned_at = p_now - std::min(*p_status.age, _order.time);
+	if (learned_at < _learned_at) {
+		_learned_at = learned_at;
 		_is_age_estimated = true;
 	}
 }
 
 bool rollout::take_told(const told_rollout &p_told, instant p_now) {
-	bool is_news = take_order(p_told.order, p_now);
+	bool is_new = take_order(p_told.order, p_now);
 	if (p_told.order.at != _order.at) {
-		return is_news;
+		return is_new;
 	}
-	_take_told_age(p_told, p_now);
-	is_news = is_news || (p_told.is_confirmed && !_is_confirmed) || (p_told.is_written && !_is_written);
+	_apply_reported_age(p_told, p_now);
+	is_new = is_new || (p_told.is_confirmed && !_is_confirmed) || (p_told.is_written && !_is_written);
 	_is_confirmed = _is_confirmed || p_told.is_confirmed;
 	if (p_told.report.order == _order.at) {
 		_record.take_past(p_told.past, p_told.report.answers.get_index());
 	}
 	for (const std::string &version : p_told.barred) {
 		if (_order.is_withdrawn || version != _order.target_version) {
-			_barred.insert(version);
+			_blocked_versions.insert(version);
 		}
 	}
 	const bool is_final = p_told.state != rollout_state::IN_PROGRESS;
 	if (is_final && !_is_written && (p_told.is_written || _state == rollout_state::IN_PROGRESS)) {
-		is_news = is_news || _state != p_told.state;
+		is_new = is_new || _state != p_told.state;
 		_set_state(p_told.state);
 		_is_written = p_told.is_written;
 	}
 	if (p_told.is_moving && !_moving_since) {
 		_moving_since = p_now;
-		is_news = true;
+		is_new = true;
 	}
-	return is_news;
+	return is_new;
 }
 
 bool rollout::take_status(const rollout_status &p_status, instant p_now) {
-	// After the log came back from an older copy the order stands at another position.
+	// After the log was restored from an older copy the order has another position.
 	const bool is_same_order = p_status.order == _order.at || p_status.order.era != _order.at.era;
 	if (!is_same_order || p_status.target_version != _order.target_version || _order.is_withdrawn) {
 		return false;
 	}
-	_take_stored_age(p_status, p_now);
+	_apply_stored_age(p_status, p_now);
 	_is_confirmed = true;
 	if (p_status.state != rollout_state::IN_PROGRESS) {
 		_set_state(p_status.state);
@@ -163,29 +163,29 @@
 void rollout::set_endpoints(const std::vector<std::pair<std::string, std::string>> &p_endpoints) {
 	_versions.clear();
 	_target_endpoints.clear();
-	_present_endpoints = 0;
+	_current_endpoint_count = 0;
 	for (const auto &[name, version] : p_endpoints) {
 		_versions.insert(version);
 		const version_side side = get_side(version);
 		if (side == version_side::TARGET) {
 			_target_endpoints.push_back(name);
 		} else if (side == version_side::PRESENT) {
-			_present_endpoints++;
+			_current_endpoint_count++;
 		}
 	}
 }
 
 double rollout::_get_share(instant p_now) const {
-	// Where the store's word is not known, the order may have ended long ago; where the fleet is not heard, the version may be bad.
+	// While the stored state is unknown, the order may have ended long ago; without current sums of the fleet, the version may be bad.
 	if (!_is_confirmed || !_is_fresh) {
 		return 0.0;
 	}
-	const rollout_course course(_bounds, _order.time);
-	return _moving_since ? course.get_share(p_now - *_moving_since) : course.get_trial_share();
+	const rollout_course schedule(_bounds, _order.time);
+	return _moving_since ? schedule.get_share(p_now - *_moving_since) : schedule.get_canary_share();
 }
 
 version_side rollout::get_side(std::string_view p_version) const {
-	if (_barred.contains(std::string(p_version))) {
+	if (_blocked_versions.contains(std::string(p_version))) {
 		return version_side::BARRED;
 	}
 	const bool is_target = !_is_ended() && p_version == _order.target_version;
@@ -196,8 +196,8 @@
 	if (_is_ended() || _target_endpoints.empty()) {
 		return false;
 	}
-	// Without endpoints of another version the target alone can serve, and may have done so before the order.
-	if (_present_endpoints == 0) {
+	// Without endpoints of another version only the target can serve, and it may have done so before the order.
+	if (_current_endpoint_count == 0) {
 		return true;
 	}
 	return rollout_course::is_chosen(p_request, _get_share(p_now));
@@ -205,17 +205,17 @@
 
 bool rollout::is_on_trial(std::string_view p_endpoint, instant p_now) const {
 	const double share = _get_share(p_now);
-	const rollout_course course(_bounds, _order.time);
-	const bool is_any = std::any_of(_target_endpoints.begin(), _target_endpoints.end(), [this, &course, share](const std::string &p_name) { return course.is_on_trial(p_name, _target_endpoints.size(), share); });
-	return !is_any || course.is_on_trial(p_endpoint, _target_endpoints.size(), share);
+	const rollout_course schedule(_bounds, _order.time);
+	const bool is_any = std::any_of(_target_endpoints.begin(), _target_endpoints.end(), [this, &schedule, share](const std::string &p_name) { return schedule.is_on_trial(p_name, _target_endpoints.size(), share); });
+	return !is_any || schedule.is_on_trial(p_endpoint, _target_endpoints.size(), share);
 }
 
 void rollout::_consider_moving(const rollout_view &p_view, instant p_now) {
 	const duration elapsed = get_age(p_now);
-	const rollout_course course(_bounds, _order.time);
-	const duration late_time = (course.get_move_time() + _order.time) / 2;
-	const bool is_due = elapsed >= course.get_move_time() && (_verdict.answers >= LEAST_ANSWERS || elapsed >= late_time);
-	const bool is_too_late = elapsed > std::max(late_time, _order.time - course.get_rise_time());
+	const rollout_course schedule(_bounds, _order.time);
+	const duration late_time = (schedule.get_rise_start() + _order.time) / 2;
+	const bool is_due = elapsed >= schedule.get_rise_start() && (_verdict.answers >= MIN_ANSWERS || elapsed >= late_time);
+	const bool is_too_late = elapsed > std::max(late_time, _order.time - schedule.get_rise_time());
 	if (!_moving_since && _is_confirmed && p_view.is_fresh && !_target_endpoints.empty() && is_due && !is_too_late) {
 		_moving_since = p_now;
 	}
@@ -226,7 +226,7 @@
 		_set_state(rollout_state::ROLLED_BACK);
 		return;
 	}
-	// Nobody was moved, so nothing is known for the version.
+	// The share never rose before the deadline, so there is no evidence that the version is good.
 	if (!_moving_since && _is_confirmed && p_view.is_fresh && get_age(p_now) >= _order.time) {
 		_set_state(rollout_state::ROLLED_BACK);
 		return;
@@ -239,7 +239,7 @@
 		_quiet_since = p_now;
 		return;
 	}
-	if (p_now - _quiet_since >= std::max(LEAST_QUIET, p_view.quiet_time)) {
+	if (p_now - _quiet_since >= std::max(MIN_QUIET_TIME, p_view.quiet_time)) {
 		_set_state(rollout_state::COMPLETED);
 	}
 }
@@ -276,7 +276,7 @@
 	report.moved = has_moved(p_now) ? 1 : 0;
 	report.open_at_present = _open_at_present;
 	report.answers = _answers;
-	// What is told beside it is of the windows that this one has closed.
+	// The closed windows that are sent along with the report end where this window begins.
 	report.answers.advance_to(_record.get_index());
 	return report;
 }
@@ -290,7 +290,7 @@
 	told.is_confirmed = _is_confirmed;
 	told.is_written = _is_written;
 	told.is_moving = _moving_since.has_value();
-	told.barred.assign(_barred.begin(), _barred.end());
+	told.barred.assign(_blocked_versions.begin(), _blocked_versions.end());
 	return told;
 }
 
--- a/servers/rollout/rollout.h
+++ b/servers/rollout/rollout.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: rollout.h
- * One service's roll-out, as one node knows it.
+ * State of one service's roll-out at one node.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -22,63 +22,63 @@
 
 namespace calicoscale {
 
-/** What a node tells its peers of a roll-out. */
+/** Update on a roll-out that nodes send to their peers. */
 struct told_rollout {
 	rollout_order order;
-	duration age = duration::zero(); ///< Since the order was learnt by the first of the nodes it was told through.
-	bool is_age_estimated = false; ///< It follows from times of day, which may be set, and no node has acted on it yet.
+	duration age = duration::zero(); ///< Time since the first node on the update's path learned of the order.
+	bool is_age_estimated = false; ///< The age was computed from times of day, which may be set, and no node has acted on it yet.
 	rollout_state state = rollout_state::IN_PROGRESS;
-	bool is_confirmed = false; ///< The store holds a state of this order, or held one.
-	bool is_written = false; ///< The store holds this final state.
-	bool is_moving = false; ///< The share has begun to rise.
-	std::vector<std::string> barred; ///< Versions that get nothing.
-	rollout_report report; ///< A sum, as the receiver's role asks for it.
-	version_tally past; ///< Answers of closed windows; told with a report.
+	bool is_confirmed = false; ///< The store holds or held a state of this order.
+	bool is_written = false; ///< The store holds this state, which is final.
+	bool is_moving = false; ///< The target's share has begun to rise.
+	std::vector<std::string> barred; ///< Blocked versions, which get no work.
+	rollout_report report; ///< Sum of reports, over the nodes that the receiver's role requires.
+	version_tally past; ///< Answers of closed windows; sent with a report.
 };
 
-/** Which part of a service's work an endpoint may get. */
+/** Role of a version in a roll-out: which share of a service's work its endpoints may get. */
 enum class version_side {
-	PRESENT, ///< What is not for the target.
-	TARGET, ///< What is for the target.
-	BARRED, ///< Nothing.
+	PRESENT, ///< A current version: gets the work that isn't selected for the target.
+	TARGET, ///< The ordered version: gets the work that is selected for it.
+	BARRED, ///< A blocked version: gets no work.
 };
 
-/** What a node knows of its service and its fleet when it considers a roll-out. */
+/** State of the fleet and the service on which a node bases its decisions about a roll-out. */
 struct rollout_view {
 	std::size_t live_nodes = 1;
-	bool is_fresh = true; ///< The sum of the fleet was told or heard just now.
-	duration quiet_time = duration::zero(); ///< What endpoints made is needed so long after they are done.
-	rollout_report total;
+	bool is_fresh = true; ///< The sum over the fleet is current.
+	duration quiet_time = duration::zero(); ///< Time for which results are still needed at their endpoints after they were produced.
+	rollout_report total; ///< Sum over the fleet.
 };
 
 /**
- * The course of one order at one node. Every node decides alike from what is told; nothing is agreed on. The first state that is
- * written to the store is final: a node that holds another one takes it over.
+ * Progress of one order at one node. There is no agreement protocol: each node decides by the same rules from the data that
+ * the nodes exchange. The first final state that is written to the store wins: a node with another one adopts it.
  */
 class rollout {
 	rollout_bounds _bounds;
 	rollout_order _order;
-	instant _learnt_at{};
+	instant _learned_at{};
 	bool _is_age_estimated = false;
 	rollout_state _state = rollout_state::IN_PROGRESS;
 	bool _is_confirmed = false;
 	bool _is_written = false;
 	std::optional<instant> _moving_since;
-	std::set<std::string> _barred;
-	std::set<std::string> _versions; ///< Of the service's endpoints that stay.
-	std::vector<std::string> _target_endpoints; ///< Of those that stay.
-	std::size_t _present_endpoints = 0;
+	std::set<std::string> _blocked_versions;
+	std::set<std::string> _versions; ///< Versions of the service's endpoints that aren't leaving.
+	std::vector<std::string> _target_endpoints; ///< Names of the target's endpoints that aren't leaving.
+	std::size_t _current_endpoint_count = 0;
 	bool _is_fresh = false;
-	instant _quiet_since{}; ///< When nothing was at work any more at the present version, all nodes having moved.
+	instant _quiet_since{}; ///< Since when no work is open at the current version and all nodes send to the target alone.
 	bool _is_quiet = false;
 	version_verdict _verdict;
-	version_windows _answers; ///< Of this node.
-	version_record _record; ///< Of the fleet.
+	version_windows _answers; ///< Counted by this node.
+	version_record _record; ///< Counted by the fleet.
 	std::uint32_t _open_at_present = 0;
 
-	void _begin(const rollout_order &p_order, instant p_learnt_at);
-	void _take_told_age(const told_rollout &p_told, instant p_now);
-	void _take_stored_age(const rollout_status &p_status, instant p_now);
+	void _begin(const rollout_order &p_order, instant p_learned_at);
+	void _apply_reported_age(const told_rollout &p_told, instant p_now);
+	void _apply_stored_age(const rollout_status &p_status, instant p_now);
 	void _set_state(rollout_state p_state);
 	bool _is_ended() const { return _state != rollout_state::IN_PROGRESS || _order.is_withdrawn; }
 	double _get_share(instant p_now) const;
@@ -89,58 +89,58 @@
 public:
 	rollout(const rollout_bounds &p_bounds, const rollout_order &p_order, instant p_now);
 
-	/** Takes what the operator wrote; older records change nothing. Returns whether it is news. */
+	/** Applies an order of the operator; an older one is ignored. Returns whether it is new. */
 	bool take_order(const rollout_order &p_order, instant p_now);
 
-	/** Takes what a peer told. Returns whether it is news to tell on. */
+	/** Applies an update of a peer. Returns whether it contains anything new that has to be forwarded. */
 	bool take_told(const told_rollout &p_told, instant p_now);
 
-	/** Takes the state that the store holds. Returns whether it is of this order. */
+	/** Applies the state that was read from the store. Returns whether it belongs to this order. */
 	bool take_status(const rollout_status &p_status, instant p_now);
 
-	/** The store was read and holds no state of this order. */
+	/** Records that this node has written a state of this order to the store. */
 	void on_written(rollout_state p_state);
 
-	/** Takes the service's endpoints that stay, by name and version. */
+	/** Sets the service's endpoints that aren't leaving, as pairs of name and version. */
 	void set_endpoints(const std::vector<std::pair<std::string, std::string>> &p_endpoints);
 
-	/** Decides anew. To be called some times a second. */
+	/** Re-evaluates the roll-out. Must be called several times per second. */
 	void consider(const rollout_view &p_view, instant p_now);
 
 	version_side get_side(std::string_view p_version) const;
 
-	/** Whether a request is for the target. */
+	/** Returns whether a request is selected for the target. */
 	bool is_for_target(std::string_view p_request, instant p_now) const;
 
-	/** Share of calls that are for the target, where they are not chosen by a request. */
+	/** Returns the share of calls for the target, for calls that aren't selected by a request. */
 	double get_share(instant p_now) const { return _is_ended() ? 0.0 : _get_share(p_now); }
 
-	/** Whether an endpoint of the target may get what is for it. */
+	/** Returns whether an endpoint of the target may get work. During the canary phase only some of them may. */
 	bool is_on_trial(std::string_view p_endpoint, instant p_now) const;
 
-	/** Whether nothing goes to the present version any more. */
+	/** Returns whether this node sends nothing to the current version any more. */
 	bool has_moved(instant p_now) const { return !_is_ended() && _is_moved(p_now); }
 
-	/** Sets how much of this node's work is at endpoints of other versions. */
+	/** Sets the number of open requests and calls of this node at endpoints of versions other than the target. */
 	void set_open_at_present(std::uint32_t p_count) { _open_at_present = p_count; }
 
-	/** An endpoint answered. */
+	/** Counts an answer of an endpoint. */
 	void add_answer(std::string_view p_endpoint, std::string_view p_version, std::string_view p_route, bool p_is_bad);
 
-	/** Answers of the fleet in windows that are closed, to be told with sums. */
+	/** Returns the fleet's answers in closed windows, which are sent along with sums. */
 	const version_tally &get_past() const { return _record.get_past(); }
 
-	/** What this node counts. */
+	/** Returns the counts of this node. */
 	rollout_report get_report(instant p_now) const;
 
-	/** What to tell peers, without a report. */
+	/** Returns the update for peers, without a report. */
 	told_rollout get_told(instant p_now) const;
 
-	/** The state to be written to the store; empty when the store holds it. */
+	/** Returns the state that has to be written to the store; empty if the store holds it. */
 	std::optional<rollout_status> get_unwritten() const;
 
-	/** Since the order was learnt. */
-	duration get_age(instant p_now) const { return p_now - _learnt_at; }
+	/** Returns the time since the order was learned. */
+	duration get_age(instant p_now) const { return p_now - _learned_at; }
 
 	const rollout_order &get_order() const { return _order; }
 	rollout_state get_state() const { return _state; }
@@ -148,7 +148,7 @@
 	bool is_moving() const { return _moving_since.has_value(); }
 	bool is_over() const { return _is_ended(); }
 
-	/** What the answers said when they were last considered. */
+	/** Returns the verdict of the last consider(). */
 	const version_verdict &get_verdict() const { return _verdict; }
 };
 
--- a/servers/rollout/rollout_order.cpp
+++ b/servers/rollout/rollout_order.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: rollout_order.cpp
- * An operator's order to move a service to another version, and how it stands.
+ * An operator's order to move a service to another version, and the order's state.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
--- a/servers/rollout/rollout_order.h
+++ b/servers/rollout/rollout_order.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: rollout_order.h
- * An operator's order to move a service to another version, and how it stands.
+ * An operator's order to move a service to another version, and the order's state.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,19 +18,19 @@
 
 namespace calicoscale {
 
-/** The newest that the operator wrote of a service: to move it to a version, or that this is taken back. */
+/** The operator's newest record for a service: an order to move it to a version, or the withdrawal of one. */
 struct rollout_order {
 	std::string service;
 	std::string target_version;
-	duration time = duration::zero(); ///< From the order until its deadline.
-	log_position at; ///< Of the record.
-	bool is_withdrawn = false; ///< Nothing is ordered; the version named before gets nothing.
+	duration time = duration::zero(); ///< Time from the order until its deadline.
+	log_position at; ///< Position of the record in the operator's log.
+	bool is_withdrawn = false; ///< The order is withdrawn and its target version is blocked.
 };
 
-/** How an order stands. The last two are final. */
+/** State of an order. COMPLETED and ROLLED_BACK are final. */
 enum class rollout_state : std::uint8_t {
 	IN_PROGRESS,
-	COMPLETED, ///< The endpoints of other versions stop at once.
+	COMPLETED, ///< Endpoints of other versions are stopped immediately after this.
 	ROLLED_BACK,
 	COUNT,
 };
@@ -38,13 +38,13 @@
 /** Name of a state, e.g. "in_progress". */
 std::string_view get_name(rollout_state p_state);
 
-/** What is kept in the store of an order's state. */
+/** State of an order as stored in the store. */
 struct rollout_status {
 	std::string service;
 	std::string target_version;
 	rollout_state state = rollout_state::IN_PROGRESS;
-	log_position order; ///< The order it answers; zero when its writer told none.
-	std::optional<duration> age; ///< Since the order was learnt; empty when its writer told none that can be read.
+	log_position order; ///< Position of the order that it belongs to; zero if not recorded.
+	std::optional<duration> age; ///< Time since the order was learned; empty if not recorded or unreadable.
 };
 
 } // namespace calicoscale
--- a/servers/rollout/rollout_report.cpp
+++ b/servers/rollout/rollout_report.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: rollout_report.cpp
- * What nodes count of a roll-out, so that sums over the fleet can be told.
+ * Counts of a roll-out that nodes add up over the fleet.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
--- a/servers/rollout/rollout_report.h
+++ b/servers/rollout/rollout_report.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: rollout_report.h
- * What nodes count of a roll-out, so that sums over the fleet can be told.
+ * Counts of a roll-out that nodes add up over the fleet.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,19 +18,19 @@
 
 namespace calicoscale {
 
-/** Of one node, or of several together. */
+/** Counts of one node, or the sum over several. */
 struct rollout_report {
-	log_position order; ///< Reports of another order count for nothing.
-	std::uint32_t nodes = 0;
-	std::uint32_t moved = 0; ///< Nodes that send to the target alone.
-	std::uint32_t open_at_present = 0; ///< Requests and calls at work at endpoints of the present version.
+	log_position order; ///< Reports of different orders aren't added up.
+	std::uint32_t nodes = 0; ///< Nodes whose counts are included.
+	std::uint32_t moved = 0; ///< Nodes that send to the target only.
+	std::uint32_t open_at_present = 0; ///< Open requests and calls at endpoints of the current version.
 	version_windows answers;
 
-	/** Adds a report of the same order; one of a later order replaces this one. */
+	/** Adds a report of the same order; one of a later order replaces this one, one of an earlier order is ignored. */
 	void add(const rollout_report &p_other);
 };
 
-/** By service. */
+/** Reports by service. */
 using rollout_reports = std::map<std::string, rollout_report>;
 
 /** Adds reports service by service. */
--- a/servers/rollout/rollout_table.cpp
+++ b/servers/rollout/rollout_table.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: rollout_table.cpp
- * All roll-outs, as one node knows them.
+ * State of all roll-outs at one node.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -57,60 +57,60 @@
 	return opens && static_cast<std::size_t>(open) >= MOST_SERVICES;
 }
 
-void rollout_table::_take(const rollout_order &p_order, instant p_now) {
-	const auto waiting = _waiting.find(p_order.service);
-	if (waiting != _waiting.end() && p_order.at < waiting->second.at) {
+void rollout_table::_apply(const rollout_order &p_order, instant p_now) {
+	const auto waiting_order = _waiting_orders.find(p_order.service);
+	if (waiting_order != _waiting_orders.end() && p_order.at < waiting_order->second.at) {
 		return;
 	}
 	if (_must_wait(p_order)) {
-		_waiting[p_order.service] = p_order;
+		_waiting_orders[p_order.service] = p_order;
 		return;
 	}
-	_waiting.erase(p_order.service);
+	_waiting_orders.erase(p_order.service);
 	rollout *known = _find(p_order.service);
 	if (known != nullptr) {
 		known->take_order(p_order, p_now);
 	} else if (!p_order.target_version.empty()) {
-		rollout &made = _rollouts.emplace(p_order.service, rollout(_bounds, p_order, p_now)).first->second;
-		made.set_endpoints(_endpoints[p_order.service]);
+		rollout &created = _rollouts.emplace(p_order.service, rollout(_bounds, p_order, p_now)).first->second;
+		created.set_endpoints(_endpoints[p_order.service]);
 	}
 }
 
-void rollout_table::_begin_waiting(instant p_now) {
-	while (!_waiting.empty()) {
-		const auto oldest = std::min_element(_waiting.begin(), _waiting.end(), [](const auto &p_left, const auto &p_right) { return p_left.second.at < p_right.second.at; });
+void rollout_table::_start_waiting_orders(instant p_now) {
+	while (!_waiting_orders.empty()) {
+		const auto oldest = std::min_element(_waiting_orders.begin(), _waiting_orders.end(), [](const auto &p_left, const auto &p_right) { return p_left.second.at < p_right.second.at; });
 		const rollout_order order = oldest->second;
 		if (_must_wait(order)) {
 			return;
 		}
-		_take(order, p_now);
+		_apply(order, p_now);
 	}
 }
 
 void rollout_table::take_records(const std::vector<rollout_order> &p_orders, instant p_now) {
 	for (const rollout_order &order : p_orders) {
-		_take(order, p_now);
-		_known = std::max(_known, log_position{ order.at.era, order.at.offset + 1 });
+		_apply(order, p_now);
+		_known_position = std::max(_known_position, log_position{ order.at.era, order.at.offset + 1 });
 	}
 }
 
 void rollout_table::take_whole(const std::vector<rollout_order> &p_orders, const log_position &p_known, instant p_now) {
-	if (p_known < _known) {
+	if (p_known < _known_position) {
 		return;
 	}
-	const bool is_new_era = p_known.era != _known.era;
-	_known = p_known;
+	const bool is_new_era = p_known.era != _known_position.era;
+	_known_position = p_known;
 	for (const rollout_order &order : p_orders) {
-		_take(order, p_now);
+		_apply(order, p_now);
 	}
-	// An older copy may lack an order that stands; the operator writes it again.
+	// After a restore from an older copy the log may lack an order that is in force; the operator writes it again.
 	if (is_new_era) {
 		return;
 	}
 	const auto is_listed = [&p_orders](const std::string &p_service) {
 		return std::any_of(p_orders.begin(), p_orders.end(), [&p_service](const rollout_order &p_order) { return p_order.service == p_service; });
 	};
-	std::erase_if(_waiting, [&is_listed, &p_known](const auto &p_entry) { return !is_listed(p_entry.first) && p_entry.second.at < p_known; });
+	std::erase_if(_waiting_orders, [&is_listed, &p_known](const auto &p_entry) { return !is_listed(p_entry.first) && p_entry.second.at < p_known; });
 	for (auto &[service, entry] : _rollouts) {
 		const rollout_order &order = entry.get_order();
 		if (!is_listed(service) && !order.is_withdrawn && order.at < p_known) {
@@ -123,20 +123,20 @@
 }
 
 bool rollout_table::take_told(const std::vector<told_rollout> &p_told, instant p_now) {
-	bool is_news = false;
+	bool is_new = false;
 	for (const told_rollout &told : p_told) {
 		rollout *known = _find(told.order.service);
 		if (known == nullptr || known->get_order().at < told.order.at) {
-			_take(told.order, p_now);
+			_apply(told.order, p_now);
 			known = _find(told.order.service);
 			if (known == nullptr || known->get_order().at != told.order.at) {
 				continue;
 			}
-			is_news = true;
+			is_new = true;
 		}
-		is_news = known->take_told(told, p_now) || is_news;
+		is_new = known->take_told(told, p_now) || is_new;
 	}
-	return is_news;
+	return is_new;
 }
 
 void rollout_table::set_endpoints(std::map<std::string, std::vector<std::pair<std::string, std::string>>> p_endpoints) {
@@ -150,7 +150,7 @@
 	for (auto &[service, entry] : _rollouts) {
 		entry.consider(p_get_view(entry), p_now);
 	}
-	_begin_waiting(p_now);
+	_start_waiting_orders(p_now);
 }
 
 rollout_reports rollout_table::get_reports(instant p_now) const {
@@ -180,13 +180,13 @@
 	std::vector<rollout_change> changes;
 	for (auto &[service, entry] : _rollouts) {
 		const rollout_change::kind kind = get_kind(entry);
-		const auto noted = _noted.find(service);
-		const bool is_same_order = _noted_orders[service] == entry.get_order().at;
-		if (noted != _noted.end() && noted->second == kind && is_same_order) {
+		const auto reported = _reported_kinds.find(service);
+		const bool is_same_order = _reported_orders[service] == entry.get_order().at;
+		if (reported != _reported_kinds.end() && reported->second == kind && is_same_order) {
 			continue;
 		}
-		_noted[service] = kind;
-		_noted_orders[service] = entry.get_order().at;
+		_reported_kinds[service] = kind;
+		_reported_orders[service] = entry.get_order().at;
 		changes.push_back(rollout_change{ kind, service, entry.get_order().target_version, entry.get_verdict() });
 	}
 	return changes;
--- a/servers/rollout/rollout_table.h
+++ b/servers/rollout/rollout_table.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: rollout_table.h
- * All roll-outs, as one node knows them.
+ * State of all roll-outs at one node.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,13 +18,13 @@
 
 namespace calicoscale {
 
-/** A change of a roll-out that is to be logged. */
+/** Change of a roll-out, for logs. */
 struct rollout_change {
 	enum class kind {
 		ORDERED,
 		WITHDRAWN,
-		CONFIRMED, ///< The store holds its state, so that the trial begins.
-		MOVING, ///< The share begins to rise.
+		CONFIRMED, ///< The store holds the order's state, so the canary phase begins.
+		MOVING, ///< The target's share begins to rise.
 		COMPLETED,
 		ROLLED_BACK,
 		COUNT,
@@ -35,60 +35,60 @@
 	version_verdict verdict;
 };
 
-/** Name of a change, e.g. "moving". */
+/** Returns the name of a change, e.g. "moving". */
 std::string_view get_name(rollout_change::kind p_kind);
 
-/** Keeps the newest order of each service. Orders are known as of a position in the operator's log, as evacuations are. */
+/** Newest order of each service. The table reflects the operator's log up to a position, like the evacuations do. */
 class rollout_table {
 	rollout_bounds _bounds;
 	std::map<std::string, rollout> _rollouts;
-	std::map<std::string, rollout_order> _waiting; ///< Newest orders of services for which there is no place yet.
-	std::map<std::string, rollout_change::kind> _noted; ///< Last change of each order that was handed out.
-	std::map<std::string, log_position> _noted_orders;
+	std::map<std::string, rollout_order> _waiting_orders; ///< Newest orders of services that wait because of MOST_SERVICES.
+	std::map<std::string, rollout_change::kind> _reported_kinds; ///< Last change of each service that take_changes() returned.
+	std::map<std::string, log_position> _reported_orders; ///< Order that this change belongs to.
 	std::map<std::string, std::vector<std::pair<std::string, std::string>>> _endpoints; ///< By service: name and version.
-	log_position _known;
+	log_position _known_position; ///< End of the part of the operator's log that was applied.
 
 	bool _must_wait(const rollout_order &p_order) const;
-	void _take(const rollout_order &p_order, instant p_now);
-	void _begin_waiting(instant p_now);
+	void _apply(const rollout_order &p_order, instant p_now);
+	void _start_waiting_orders(instant p_now);
 	rollout *_find(const std::string &p_service);
 
 public:
-	/** Orders beyond these wait until one is over; bounds the counts in heartbeats. */
+	/** Maximum number of open orders; further ones wait until one is over. This limits the size of the counts in heartbeats. */
 	static constexpr std::size_t MOST_SERVICES = 16;
 
 	explicit rollout_table(const rollout_bounds &p_bounds) :
 			_bounds(p_bounds) {}
 
-	/** Takes records that follow each other in the operator's log. */
+	/** Applies consecutive records of the operator's log. */
 	void take_records(const std::vector<rollout_order> &p_orders, instant p_now);
 
-	/** Takes a whole reading: the newest orders of all services as of a position. What it lacks was taken back. */
+	/** Applies a snapshot: the newest orders of all services as of a position. Orders that it lacks were withdrawn. */
 	void take_whole(const std::vector<rollout_order> &p_orders, const log_position &p_known, instant p_now);
 
-	/** Takes what a peer told. Returns whether any of it is news. */
+	/** Applies updates of a peer. Returns whether any of them contains something new. */
 	bool take_told(const std::vector<told_rollout> &p_told, instant p_now);
 
-	/** Takes the endpoints that stay, by service: name and version. */
+	/** Sets the endpoints that aren't leaving: pairs of name and version by service. */
 	void set_endpoints(std::map<std::string, std::vector<std::pair<std::string, std::string>>> p_endpoints);
 
-	/** Decides anew on each roll-out. @param p_get_view what is known for one of them. */
+	/** Re-evaluates each roll-out. @param p_get_view returns the state of the fleet for a roll-out. */
 	void consider(const std::function<rollout_view(const rollout &)> &p_get_view, instant p_now);
 
-	/** Roll-out of a service; nullptr when there never was one. */
+	/** Returns the roll-out of a service; nullptr if there never was one. */
 	const rollout *find(const std::string &p_service) const;
 	rollout *find(const std::string &p_service) { return _find(p_service); }
 
 	bool is_empty() const { return _rollouts.empty(); }
 	const std::map<std::string, rollout> &get_all() const { return _rollouts; }
 
-	/** What this node counts, by service. */
+	/** Returns this node's counts of open roll-outs by service. */
 	rollout_reports get_reports(instant p_now) const;
 
-	/** What to tell peers, with the reports given. */
+	/** Returns the updates for peers, including the given reports. */
 	std::vector<told_rollout> get_told(const rollout_reports &p_reports, instant p_now) const;
 
-	/** Differences since the last call. */
+	/** Returns the changes since the last call. */
 	std::vector<rollout_change> take_changes();
 };
 
--- a/servers/rollout/version_record.h
+++ b/servers/rollout/version_record.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: version_record.h
- * All answers since an order, also those that nodes counted which are gone.
+ * All answers since an order, including those counted by nodes that have failed since.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -17,39 +17,40 @@
 namespace calicoscale {
 
 /**
- * Keeps the sums of the fleet, which lack what a lost node counted, over the whole of an order. Windows that are closed are added
- * up; every node keeps this sum and tells it, so that it is lost with the last node only. In a window that is not closed a count
- * does not fall. Counts of a node that is heard again, or by way of another hub, are in the sum of its window already.
+ * Accumulates the fleet's answers over the lifetime of an order. The current sums of the fleet lack the counts of failed nodes, so
+ * this class keeps them. Closed windows are added up; every node stores and sends this total, so it survives as long as one node
+ * does. In an open window a count never decreases. Counts of a node that reconnects, directly or through another hub, are already
+ * included in the sum of their window and aren't added twice.
  */
 class version_record {
-	/** Least sums since a moment. */
-	struct lasting_sum {
-		version_windows least;
+	/** Minimum of all sums received since a point in time. */
+	struct minimum_sum {
+		version_windows minimum;
 		instant since{};
 	};
 
-	version_tally _past; ///< Of closed windows.
-	version_windows _kept; ///< Greatest sums of the windows that are not closed.
-	version_windows _latest; ///< Sums as they were heard last.
-	std::deque<lasting_sum> _lasting; ///< From the oldest moment on.
+	version_tally _past; ///< Total of closed windows.
+	version_windows _stable; ///< Highest stable sums of the open windows.
+	version_windows _latest; ///< Sums as last received.
+	std::deque<minimum_sum> _minimum_sums; ///< Ordered by time, oldest first.
 
 public:
-	/** Opens the window of a time since the order. */
+	/** Opens the window that contains a time since the order. */
 	void advance_to(duration p_age);
 
-	/** Opens a window; those that end by it are closed. */
+	/** Opens a window by its number and closes those that are too old for further reports. */
 	void advance_to(std::uint32_t p_index);
 
-	/** Takes the sum of the fleet as it is known now. */
+	/** Applies the current sum over the fleet. */
 	void take_total(const version_windows &p_total, instant p_now);
 
-	/** Takes the closed windows of another node, and the number of the window that was open there. */
+	/** Merges the closed windows of another node. @param p_index number of the window that was open there. */
 	void take_past(const version_tally &p_past, std::uint32_t p_index);
 
 	const version_tally &get_past() const { return _past; }
-	std::uint32_t get_index() const { return _kept.get_index(); }
+	std::uint32_t get_index() const { return _stable.get_index(); }
 
-	/** All answers since the order. */
+	/** Returns all answers since the order. */
 	version_tally get_all() const;
 };
 
--- a/servers/rollout/version_runs.cpp
+++ b/servers/rollout/version_runs.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: version_runs.cpp
- * What is at work at each version of each service, from this node.
+ * Open runs of this node at each version of each service.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
--- a/servers/rollout/version_runs.h
+++ b/servers/rollout/version_runs.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: version_runs.h
- * What is at work at each version of each service, from this node.
+ * Open runs of this node at each version of each service.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -15,17 +15,17 @@
 
 namespace calicoscale {
 
-/** Counts runs by service and version. */
+/** Counts open runs, i.e. requests and calls that were sent and not finished, by service and version. */
 class version_runs {
 	std::map<std::string, std::map<std::string, std::uint32_t>> _open;
 
 public:
 	void on_started(const std::string &p_service, const std::string &p_version) { _open[p_service][p_version]++; }
 
-	/** Ends one that was started. */
+	/** Records the end of a started run. */
 	void on_ended(const std::string &p_service, const std::string &p_version);
 
-	/** Runs at other versions of a service. */
+	/** Returns the number of open runs at versions of a service other than p_version. */
 	std::uint32_t count_others(const std::string &p_service, const std::string &p_version) const;
 };
 
--- a/servers/rollout/version_tally.cpp
+++ b/servers/rollout/version_tally.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: version_tally.cpp
- * Answers of a service's versions, and whether the newer one is bad.
+ * Counts answers of a service's versions and decides whether the target version is bad.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,26 +18,28 @@
 
 namespace {
 
-/** Stands for routes beyond those that are told apart. */
+/** Key of all routes beyond the first MOST_ROUTES. */
 constexpr std::uint32_t OTHER_ROUTES = 0;
-/** Bad answers below which nothing is said, and standard deviations beyond what is usual that condemn a version. */
-constexpr std::uint32_t LEAST_BAD = 4;
-constexpr double DEVIATIONS = 4.0;
-/** A share of bad answers that no service stays below, however few were seen of the present version. */
-constexpr double LEAST_USUAL_SHARE = 0.005;
-/** A bad version has at least so many times the usual share. */
-constexpr double LEAST_RATIO = 2.0;
-/** So many bad answers count whichever endpoints they came from. */
-constexpr std::uint32_t MANY_BAD = 25;
-
-std::uint32_t sum(std::uint32_t p_left, std::uint32_t p_right) {
+/** With fewer bad answers a version is never judged bad. */
+constexpr std::uint32_t MIN_BAD_ANSWERS = 4;
+/** Standard deviations above the expected number of bad answers from which a version is bad. */
+constexpr double MIN_DEVIATIONS = 4.0;
+/** Lower bound of the baseline share of bad answers, however few the current version gave. */
+constexpr double MIN_BASELINE_SHARE = 0.005;
+/** A bad version's share of bad answers exceeds this multiple of the baseline. */
+constexpr double MIN_RATIO = 2.0;
+/** From this number on, bad answers count without regard to how they are distributed over endpoints. */
+constexpr std::uint32_t MIN_BAD_ACROSS_GROUPS = 25;
+
+/** Adds two numbers; the result is limited to UINT32_MAX. */
+std::uint32_t add_saturated(std::uint32_t p_left, std::uint32_t p_right) {
 	const std::uint64_t total = static_cast<std::uint64_t>(p_left) + p_right;
 	return static_cast<std::uint32_t>(std::min<std::uint64_t>(total, UINT32_MAX));
 }
 
-bool is_beyond(std::uint32_t p_answers, std::uint32_t p_bad, double p_usual_share) {
-	const double expected = static_cast<double>(p_answers) * p_usual_share;
-	return p_bad >= LEAST_BAD && p_bad > LEAST_RATIO * expected && p_bad > expected + DEVIATIONS * std::sqrt(expected) + 1.0;
+bool exceeds_baseline(std::uint32_t p_answers, std::uint32_t p_bad, double p_baseline_share) {
+	const double expected = static_cast<double>(p_answers) * p_baseline_share;
+	return p_bad >= MIN_BAD_ANSWERS && p_bad > MIN_RATIO * expected && p_bad > expected + MIN_DEVIATIONS * std::sqrt(expected) + 1.0;
 }
 
 } // namespace
@@ -65,12 +67,12 @@
 		if (cell.group > TARGET_GROUPS) {
 			continue;
 		}
-		const bool is_apart = routes.contains(cell.route) || routes.size() < MOST_ROUTES;
-		const std::uint32_t route = is_apart ? cell.route : OTHER_ROUTES;
+		const bool is_separate = routes.contains(cell.route) || routes.size() < MOST_ROUTES;
+		const std::uint32_t route = is_separate ? cell.route : OTHER_ROUTES;
 		routes.insert(route);
 		counts &counted = _cells[{ route, cell.group }];
-		counted.answers = sum(counted.answers, cell.answers);
-		counted.bad = sum(counted.bad, std::min(cell.bad, cell.answers));
+		counted.answers = add_saturated(counted.answers, cell.answers);
+		counted.bad = add_saturated(counted.bad, std::min(cell.bad, cell.answers));
 	}
 }
 
@@ -109,29 +111,29 @@
 	std::array<counts, TARGET_GROUPS + 1> groups{};
 	for (const auto &[key, counted] : _cells) {
 		if (p_all || key.first == p_route) {
-			groups.at(key.second).answers = sum(groups.at(key.second).answers, counted.answers);
-			groups.at(key.second).bad = sum(groups.at(key.second).bad, counted.bad);
+			groups.at(key.second).answers = add_saturated(groups.at(key.second).answers, counted.answers);
+			groups.at(key.second).bad = add_saturated(groups.at(key.second).bad, counted.bad);
 		}
 	}
-	const counts &present = groups.front();
+	const counts &current = groups.front();
 	version_verdict verdict;
 	verdict.route = p_all ? OTHER_ROUTES : p_route;
-	verdict.usual_share = std::max(LEAST_USUAL_SHARE, (present.bad + 0.5) / (present.answers + 1.0));
+	verdict.usual_share = std::max(MIN_BASELINE_SHARE, (current.bad + 0.5) / (current.answers + 1.0));
 	counts worst;
 	int used_groups = 0;
 	for (std::size_t group = 1; group < groups.size(); group++) {
-		verdict.answers = sum(verdict.answers, groups.at(group).answers);
-		verdict.bad = sum(verdict.bad, groups.at(group).bad);
+		verdict.answers = add_saturated(verdict.answers, groups.at(group).answers);
+		verdict.bad = add_saturated(verdict.bad, groups.at(group).bad);
 		used_groups += groups.at(group).answers > 0 ? 1 : 0;
 		worst = groups.at(group).bad > worst.bad ? groups.at(group) : worst;
 	}
-	// Before the present version answered on a route nothing is known to compare with.
-	if (present.answers == 0) {
+	// Without answers of the current version on a route there is no baseline to compare with.
+	if (current.answers == 0) {
 		return verdict;
 	}
-	const bool is_bad_without_worst = used_groups > 1 && is_beyond(verdict.answers - worst.answers, verdict.bad - worst.bad, verdict.usual_share);
-	const bool is_bad_at_large = verdict.bad >= MANY_BAD && is_beyond(verdict.answers, verdict.bad, verdict.usual_share);
-	verdict.is_bad = is_bad_without_worst || is_bad_at_large;
+	const bool is_bad_without_worst = used_groups > 1 && exceeds_baseline(verdict.answers - worst.answers, verdict.bad - worst.bad, verdict.usual_share);
+	const bool is_bad_overall = verdict.bad >= MIN_BAD_ACROSS_GROUPS && exceeds_baseline(verdict.answers, verdict.bad, verdict.usual_share);
+	verdict.is_bad = is_bad_without_worst || is_bad_overall;
 	return verdict;
 }
 
--- a/servers/rollout/version_tally.h
+++ b/servers/rollout/version_tally.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: version_tally.h
- * Answers of a service's versions, and whether the newer one is bad.
+ * Counts answers of a service's versions and decides whether the target version is bad.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,29 +18,29 @@
 
 namespace calicoscale {
 
-/** Answers of one version on one route. */
+/** Answers of one version, or of one group of the target's endpoints, on one route. */
 struct version_cell {
-	std::uint32_t route = 0; ///< A hash of the route's name.
-	std::uint8_t group = 0; ///< 0 for the present version, else one of the groups that the target's endpoints are divided into.
+	std::uint32_t route = 0; ///< Hash of the route's name.
+	std::uint8_t group = 0; ///< 0 for the current version, else the group of the target's endpoints.
 	std::uint32_t answers = 0;
-	std::uint32_t bad = 0; ///< Of them: failures, and answers several times slower than usual.
+	std::uint32_t bad = 0; ///< Number of them that failed or took several times longer than typical.
 	bool operator==(const version_cell &p_other) const = default;
 };
 
-/** What the answers say of the target version. */
+/** Judgement of the target version from its answers. */
 struct version_verdict {
 	bool is_bad = false;
-	std::uint32_t answers = 0; ///< Of the target.
-	std::uint32_t bad = 0;
-	double usual_share = 0.0; ///< Of bad answers, at the present version on the same routes.
-	std::uint32_t route = 0; ///< The one that is bad; 0 for all together.
+	std::uint32_t answers = 0; ///< Answers of the target.
+	std::uint32_t bad = 0; ///< Bad answers of the target.
+	double usual_share = 0.0; ///< Share of bad answers of the current version on the same routes.
+	std::uint32_t route = 0; ///< Route to which the judgement applies; 0 for all together.
 };
 
 /**
- * Counts answers by route and group, and compares the target version with the present one: on all routes together and on each.
- * Both are judged by what happened at the same time, so that an overload or an endpoint's ordinary failures, which show at both,
- * condemn neither. Endpoints of the target fall into groups, and the one with most bad answers is left out unless bad answers are
- * many: a single bad endpoint is no bad version.
+ * Counts answers by route and group, and compares the target version with the current one, on all routes together and on each.
+ * Answers of both versions from the same time are compared, so that an overload or ordinary failures, which affect both, don't make
+ * the target look bad. Endpoints of the target are divided into groups, and the group with the most bad answers is left out unless
+ * there are many bad answers: a single bad endpoint doesn't make a version bad.
  */
 class version_tally {
 	struct counts {
@@ -55,26 +55,27 @@
 
 public:
 	static constexpr std::uint8_t TARGET_GROUPS = 8;
-	/** Routes that are told apart; answers on others count for all together. */
+	/** Maximum number of routes that are counted separately; answers on further routes share one count. */
 	static constexpr std::size_t MOST_ROUTES = 16;
 
-	/** Group of an endpoint of the target version. */
+	/** Returns the group of an endpoint of the target version. */
 	static std::uint8_t get_group(std::string_view p_endpoint);
 
-	/** An answer of the present version (group 0) or of an endpoint of the target. */
+	/** Counts an answer of the current version (group 0) or of an endpoint of the target. */
 	void add(std::string_view p_route, std::uint8_t p_group, bool p_is_bad);
 
-	/** Adds what others counted. */
+	/** Adds counts of other nodes; cells with an invalid group are ignored. */
 	void add(const std::vector<version_cell> &p_cells);
 
-	/** Raises each count to that of another. */
+	/** Raises each count to that of p_other if it is higher. */
 	void raise_to(const version_tally &p_other);
 
-	/** Lowers each count to that of another. */
+	/** Lowers each count to that of p_other if it is lower; removes cells that p_other lacks. */
 	void lower_to(const version_tally &p_other);
 
 	std::vector<version_cell> get_cells() const;
 
+	/** Judges all routes together and then each route; returns the first bad verdict, else that of all routes. */
 	version_verdict judge() const;
 };
 
--- a/servers/rollout/version_times.h
+++ b/servers/rollout/version_times.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: version_times.h
- * How long answers of a service usually take, by route.
+ * Typical answer times of services, by route.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -17,18 +17,18 @@
 
 namespace calicoscale {
 
-/** Learns from the answers of the versions in service, so that those of a new one are compared with them. */
+/** Estimates typical times from answers of the versions in service, so that answers of a new version can be compared with them. */
 class version_times {
-	std::map<std::pair<std::string, std::string>, duration> _usual; ///< By service and route.
+	std::map<std::pair<std::string, std::string>, duration> _typical; ///< By service and route.
 
 public:
-	/** Times over the usual from which an answer is slow. */
+	/** An answer is slow if it takes longer than the typical time by this factor. */
 	static constexpr int SLOW_FACTOR = 3;
 
-	/** Whether an answer took several times longer than usual; false while nothing is known of the route. */
+	/** Returns whether an answer took more than SLOW_FACTOR times the typical time; false while the route has no estimate. */
 	bool is_slow(const std::string &p_service, const std::string &p_route, duration p_elapsed) const;
 
-	/** A version in service answered. */
+	/** Updates the estimate with the time of an answer of a version in service. */
 	void learn(const std::string &p_service, const std::string &p_route, duration p_elapsed);
 };
 
--- a/servers/rollout/version_windows.cpp
+++ b/servers/rollout/version_windows.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: version_windows.cpp
- * Answers of the last windows of time since an order.
+ * Answers in the two latest time windows since an order.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
--- a/servers/rollout/version_windows.h
+++ b/servers/rollout/version_windows.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: version_windows.h
- * Answers of the last windows of time since an order.
+ * Answers in the two latest time windows since an order.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -17,8 +17,8 @@
 namespace calicoscale {
 
 /**
- * Answers of the window that is open, and of the one before, of which reports still arrive. Windows are numbered, so that those of
- * several nodes are added up window by window; what is older than two windows is dropped here.
+ * Answers of the open window and of the previous one, for which reports still arrive. Windows are numbered, so that the counts of
+ * several nodes are added up window by window. Older windows are dropped here.
  */
 class version_windows {
 	std::uint32_t _index = 0;
@@ -30,22 +30,22 @@
 	version_windows(std::uint32_t p_index, version_tally p_current, version_tally p_previous) :
 			_index(p_index), _current(std::move(p_current)), _previous(std::move(p_previous)) {}
 
-	/** Opens a later window; an earlier one changes nothing. */
+	/** Opens a later window; an earlier one is ignored. */
 	void advance_to(std::uint32_t p_index);
 
-	/** An answer in the window that is open. */
+	/** Counts an answer in the open window. */
 	void add(std::string_view p_route, std::uint8_t p_group, bool p_is_bad) { _current.add(p_route, p_group, p_is_bad); }
 
-	/** Adds what others counted; the later window of both is open then. */
+	/** Adds counts of other nodes, and opens the later window of both. */
 	void add(version_windows p_other);
 
-	/** Raises each count to that of another, and opens its window if it is later. */
+	/** Raises each count to that of p_other if it is higher, and opens the later window of both. */
 	void raise_to(version_windows p_other);
 
-	/** Lowers each count to that of another, and opens its window if it is later. */
+	/** Lowers each count to that of p_other if it is lower, and opens the later window of both. */
 	void lower_to(version_windows p_other);
 
-	/** Number of the window that is open. */
+	/** Returns the number of the open window. */
 	std::uint32_t get_index() const { return _index; }
 	const version_tally &get_current() const { return _current; }
 	const version_tally &get_previous() const { return _previous; }
--- a/tests/servers/limits_test.cpp
+++ b/tests/servers/limits_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: limits_test.cpp
- * Queues, budgets, concurrency, learnt times and shares of customer limits.
+ * Queues, budgets, concurrency limits, estimated times and shares of customer limits.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -163,7 +163,7 @@
 	std::set<std::uint64_t> inside;
 	std::uint64_t next = 1;
 	instant now{};
-	const auto take = [&waiting, &inside](const gate_changes &p_changes) {
+	const auto apply_changes = [&waiting, &inside](const gate_changes &p_changes) {
 		for (const request_id &id : p_changes.admitted) {
 			RC_ASSERT(waiting.erase(id.sequence) == 1U);
 			inside.insert(id.sequence);
@@ -180,13 +180,13 @@
 		if (choices.one_in(2)) {
 			waiting.insert(next);
 			const std::int64_t start_by = (now - instant{}).count() / 1000 + choices.pick(200);
-			take(gate.enter(make_queued(next, "c" + std::to_string(choices.pick(3)), 1.0, priority_class::NORMAL, start_by), now));
+			apply_changes(gate.enter(make_queued(next, "c" + std::to_string(choices.pick(3)), 1.0, priority_class::NORMAL, start_by), now));
 			next++;
 		} else if (!inside.empty()) {
 			inside.erase(inside.begin());
-			take(gate.leave(static_cast<place_use>(choices.pick(3)), std::chrono::milliseconds(10), 1.0 + choices.pick(5), now));
+			apply_changes(gate.leave(static_cast<place_use>(choices.pick(3)), std::chrono::milliseconds(10), 1.0 + choices.pick(5), now));
 		} else {
-			take(gate.expire(now));
+			apply_changes(gate.expire(now));
 		}
 		RC_ASSERT(gate.get_in_flight() == static_cast<int>(inside.size()));
 		RC_ASSERT(gate.get_waiting() == waiting.size());
@@ -208,7 +208,7 @@
 	pool_gate gate(100);
 	int granted = 0;
 	for (int i = 0; i < 1000; i++) {
-		// Every attempt fails without being refused: only the budget stands in the way.
+		// Every attempt fails without being refused, so only the budget limits the retries.
 		granted += gate.may_retry(at(i)) ? 1 : 0;
 	}
 	EXPECT_LE(granted, 3);
@@ -275,16 +275,16 @@
 	}
 	const int limit = static_cast<int>(choices.pick(50));
 	double rate = 0.0;
-	int places = 0;
+	int slots = 0;
 	for (const share_member &member : members) {
 		const limit_part part = compute_limit_part(member.vm, members, zones, "c", 100.0, limit);
 		RC_ASSERT(part.rate_share >= 0.0);
 		RC_ASSERT(part.concurrency >= 0);
 		rate += part.rate_share;
-		places += part.concurrency;
+		slots += part.concurrency;
 	}
 	RC_ASSERT(rate <= 1.0 + 1e-9);
-	RC_ASSERT(places <= limit);
+	RC_ASSERT(slots <= limit);
 }
 
 RC_GTEST_PROP(limit_share_properties, cut_off_zones_stay_within_the_limit_together, ()) {
@@ -296,12 +296,12 @@
 	}
 	double rate = 0.0;
 	for (const share_member &member : all) {
-		// Every node sees its own zone; the others' grants have expired.
-		std::vector<share_member> seen = all;
-		for (share_member &other : seen) {
+		// Every node is connected to its own zone only; the grants of the other zones have expired.
+		std::vector<share_member> visible = all;
+		for (share_member &other : visible) {
 			other.grant_valid = other.zone == member.zone;
 		}
-		rate += compute_limit_part(member.vm, seen, zones, "c", 100.0, 30).rate_share;
+		rate += compute_limit_part(member.vm, visible, zones, "c", 100.0, 30).rate_share;
 	}
 	RC_ASSERT(rate <= 1.0 + 1e-9);
 }
--- a/tests/servers/rollout/rollout_fleet.h
+++ b/tests/servers/rollout/rollout_fleet.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: rollout_fleet.h
- * A fleet in virtual time that serves one service while it is moved to another version.
+ * Simulated fleet in virtual time that serves one service during a roll-out.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -21,28 +21,28 @@
 
 namespace calicoscale {
 
-/** How the endpoints of the target answer. */
+/** Behaviour of the target version's endpoints. */
 struct version_traits {
-	double bad_share = 0.0; ///< Of answers that fail or are several times slower than usual.
-	duration bad_after = duration::zero(); ///< Since the order.
-	std::string bad_route; ///< Empty for all.
-	double bad_above = 0.0; ///< Requests a second at one endpoint above which it is bad.
-	std::string bad_endpoint; ///< Empty for all.
+	double bad_share = 0.0; ///< Share of answers that fail or are several times slower than typical.
+	duration bad_after = duration::zero(); ///< Time after the order from which answers are bad.
+	std::string bad_route; ///< Route with bad answers; empty for all.
+	double bad_above = 0.0; ///< Requests per second at one endpoint from which its answers are bad.
+	std::string bad_endpoint; ///< Endpoint with bad answers; empty for all.
 };
 
-/** What endpoints saw. */
+/** Requests and answers counted at the endpoints. */
 struct seen_load {
 	std::size_t at_target = 0;
 	std::size_t at_present = 0;
 	std::size_t bad_at_target = 0;
 	instant fiftieth_bad{}; ///< When the target gave its 50th bad answer.
 	instant last_at_target{};
-	std::size_t at_barred = 0; ///< Requests that reached a version after it was taken out of service for the node in touch.
+	std::size_t at_barred = 0; ///< Requests that reached a version after the sending node had blocked it.
 };
 
 /**
- * Nodes tell each other with the delay of some heartbeats what they count and decide; a node that is cut off neither tells nor
- * hears. Requests arrive at nodes unevenly and endpoints answer at once or after a while.
+ * Simulated fleet. Nodes exchange their counts and decisions with the delay of some heartbeats; a disconnected node neither sends
+ * nor receives. Nodes get different shares of the requests, and endpoints answer after a configurable time.
  */
 class rollout_fleet {
 	struct node {
@@ -50,21 +50,21 @@
 		version_runs runs;
 		bool is_cut_off = false;
 		bool is_running = true;
-		duration clock_step = duration::zero(); ///< Of its time of day.
+		duration clock_step = duration::zero(); ///< Error of the node's time of day.
 		double weight = 1.0;
 		explicit node(const rollout_bounds &p_bounds) :
 				table(p_bounds) {}
 	};
 
 	struct open_request {
-		std::size_t at = 0; ///< Node.
+		std::size_t at = 0; ///< Index of the node.
 		std::string endpoint;
 		std::string version;
 		std::string route;
 		instant ends_at{};
 	};
 
-	struct told_at {
+	struct fleet_update {
 		instant at{};
 		std::vector<told_rollout> told;
 		rollout_reports total;
@@ -72,10 +72,10 @@
 	};
 
 	std::vector<node> _nodes;
-	std::optional<rollout_order> _order; ///< Newest in the operator's log.
+	std::optional<rollout_order> _order; ///< Newest order in the operator's log.
 	std::vector<std::pair<std::string, std::string>> _endpoints;
 	std::deque<open_request> _open;
-	std::deque<told_at> _news;
+	std::deque<fleet_update> _updates;
 	random_source _random{ 7 };
 	std::size_t _next_request = 0;
 	instant _ordered_at{};
@@ -85,14 +85,14 @@
 	static constexpr const char *SERVICE = "search";
 	const rollout_bounds bounds;
 	version_traits target;
-	double usual_bad_share = 0.01; ///< Of answers of any version.
-	double rate = 200.0; ///< Requests a second at all nodes together.
+	double baseline_bad_share = 0.01; ///< Share of bad answers of every version.
+	double rate = 200.0; ///< Requests per second at all nodes together.
 	duration answer_time = std::chrono::milliseconds(50);
-	duration telling_time = std::chrono::milliseconds(450); ///< From one node to all by way of hubs.
+	duration propagation_time = std::chrono::milliseconds(450); ///< Time that an update takes from one node through the hubs to all others.
 	bool is_store_up = true;
 	seen_load seen;
 	instant now{ std::chrono::hours(1) };
-	std::vector<rollout_state> written; ///< States as the store got them.
+	std::vector<rollout_state> written; ///< States in the order in which they were written to the store.
 	std::optional<std::string> stored; ///< State record of the service in the store.
 	std::size_t refused = 0; ///< Requests for which there was no endpoint.
 	std::size_t unserved = 0; ///< Requests that arrived while no node was running.
@@ -125,7 +125,7 @@
 		}
 	}
 
-	/** A node is lost with all it knows. */
+	/** Kills a node; its state and open requests are lost. */
 	void kill(std::size_t p_node) {
 		node &killed = _nodes.at(p_node);
 		killed.is_running = false;
@@ -134,7 +134,7 @@
 		std::erase_if(_open, [p_node](const open_request &p_request) { return p_request.at == p_node; });
 	}
 
-	/** A node starts with nothing and reads the newest order. */
+	/** Starts a node without state; it reads the newest order. */
 	void start(std::size_t p_node) {
 		node &started = _nodes.at(p_node);
 		started.is_running = true;
@@ -144,12 +144,12 @@
 		}
 	}
 
-	/** Bad answers are counted anew, as the bound after the 50th runs from then. */
+	/** Kills all nodes. Resets the count of bad answers, as the time bound after the 50th one applies anew. */
 	void kill_all() {
 		for (std::size_t i = 0; i < _nodes.size(); i++) {
 			kill(i);
 		}
-		_news.clear();
+		_updates.clear();
 		seen.bad_at_target = 0;
 	}
 
@@ -159,7 +159,7 @@
 		}
 	}
 
-	/** All nodes are killed and start again after a while. */
+	/** Kills all nodes and starts them again after a pause. */
 	void restart_all(duration p_pause) {
 		kill_all();
 		run(p_pause);
@@ -168,10 +168,10 @@
 
 	void set_clock_step(std::size_t p_node, duration p_step) { _nodes.at(p_node).clock_step = p_step; }
 
-	/** The log comes back from an older copy, and the operator writes its order again. */
+	/** Replaces the order in the log, as if the log was restored from an older copy and the operator wrote the order again. */
 	void order_again(const rollout_order &p_order) { _order = p_order; }
 
-	/** State record as the operator reads it. */
+	/** Returns the stored state as the operator reads it; COUNT if there is none. */
 	rollout_state get_stored_state() const {
 		const std::optional<rollout_status> status = stored ? _read_status(_nodes.front()) : std::nullopt;
 		return status ? status->state : rollout_state::COUNT;
@@ -181,7 +181,7 @@
 	rollout &get(std::size_t p_node) { return *_nodes.at(p_node).table.find(SERVICE); }
 	std::size_t size() const { return _nodes.size(); }
 
-	/** Runs for a while, in steps of 10 ms. */
+	/** Advances the virtual time by p_time in steps of 10 ms. */
 	void run(duration p_time) {
 		constexpr duration STEP = std::chrono::milliseconds(10);
 		constexpr duration BEAT = std::chrono::milliseconds(200);
@@ -211,7 +211,7 @@
 		return true;
 	}
 
-	/** What a bad version may get in all. */
+	/** Returns the maximum number of requests that a bad version may get. */
 	double get_exposure_bound() const { return bounds.exposure_share * static_cast<double>(seen.at_target + seen.at_present) + 50.0; }
 
 private:
@@ -234,7 +234,7 @@
 	}
 
 	bool _is_bad(const std::string &p_endpoint, const std::string &p_version, const std::string &p_route) {
-		if (_random.get_unit() < usual_bad_share) {
+		if (_random.get_unit() < baseline_bad_share) {
 			return true;
 		}
 		std::deque<instant> &arrivals = _arrivals[p_endpoint];
@@ -242,8 +242,8 @@
 		while (now - arrivals.front() > std::chrono::seconds(2)) {
 			arrivals.pop_front();
 		}
-		const bool is_meant = p_version == "2" && now - _ordered_at >= target.bad_after && (target.bad_route.empty() || target.bad_route == p_route) && (target.bad_endpoint.empty() || target.bad_endpoint == p_endpoint);
-		return is_meant && static_cast<double>(arrivals.size()) / 2.0 >= target.bad_above && _random.get_unit() < target.bad_share;
+		const bool is_affected = p_version == "2" && now - _ordered_at >= target.bad_after && (target.bad_route.empty() || target.bad_route == p_route) && (target.bad_endpoint.empty() || target.bad_endpoint == p_endpoint);
+		return is_affected && static_cast<double>(arrivals.size()) / 2.0 >= target.bad_above && _random.get_unit() < target.bad_share;
 	}
 
 	void _send(std::size_t p_node) {
@@ -292,46 +292,46 @@
 
 	void _exchange() {
 		constexpr std::size_t HUBS = 3;
-		told_at news;
-		news.at = now;
+		fleet_update update;
+		update.at = now;
 		for (node &entry : _nodes) {
 			if (!entry.is_running) {
 				continue;
 			}
 			entry.table.find(SERVICE)->set_open_at_present(entry.runs.count_others(SERVICE, "2"));
 			if (!entry.is_cut_off) {
-				add_reports(news.total, entry.table.get_reports(now));
-				const std::vector<told_rollout> told = entry.table.get_told(news.live < HUBS ? entry.table.get_reports(now) : rollout_reports(), now);
-				news.told.insert(news.told.end(), told.begin(), told.end());
-				news.live++;
+				add_reports(update.total, entry.table.get_reports(now));
+				const std::vector<told_rollout> told = entry.table.get_told(update.live < HUBS ? entry.table.get_reports(now) : rollout_reports(), now);
+				update.told.insert(update.told.end(), told.begin(), told.end());
+				update.live++;
 			}
 		}
-		_news.push_back(std::move(news));
-		while (_news.size() > 1 && now - _news.at(1).at >= telling_time) {
-			_news.pop_front();
+		_updates.push_back(std::move(update));
+		while (_updates.size() > 1 && now - _updates.at(1).at >= propagation_time) {
+			_updates.pop_front();
 		}
-		if (now - _news.front().at < telling_time) {
+		if (now - _updates.front().at < propagation_time) {
 			return;
 		}
-		const told_at &heard = _news.front();
+		const fleet_update &received = _updates.front();
 		for (node &entry : _nodes) {
 			if (!entry.is_running) {
 				continue;
 			}
 			if (!entry.is_cut_off) {
-				entry.table.take_told(heard.told, now);
+				entry.table.take_told(received.told, now);
 			}
 			entry.table.consider(
-					[&heard, &entry](const rollout &p_rollout) {
-						const auto total = heard.total.find(p_rollout.get_order().service);
-						return rollout_view{ heard.live, !entry.is_cut_off, duration::zero(), total == heard.total.end() ? rollout_report() : total->second };
+					[&received, &entry](const rollout &p_rollout) {
+						const auto total = received.total.find(p_rollout.get_order().service);
+						return rollout_view{ received.live, !entry.is_cut_off, duration::zero(), total == received.total.end() ? rollout_report() : total->second };
 					},
 					now);
 		}
 		_write();
 	}
 
-	/** Any node that hears may write; the first final state of an order stands. */
+	/** Lets every connected node write its unwritten state; the first final state of an order wins. */
 	void _write() {
 		for (node &entry : _nodes) {
 			if (!entry.is_running || entry.is_cut_off || !is_store_up) {
--- a/tests/servers/rollout/rollout_loss_test.cpp
+++ b/tests/servers/rollout/rollout_loss_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: rollout_loss_test.cpp
- * Roll-outs of fleets that lose single nodes, at several sizes in virtual time.
+ * Roll-outs in fleets of several sizes in which single nodes fail, in virtual time.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -33,7 +33,7 @@
 	}
 }
 
-/** Each second a group of nodes is killed and the one before starts again, so that no node lives longer than four seconds. */
+/** Kills one group of nodes each second and restarts the previous one, so that no node runs for longer than four seconds. */
 void run_with_losses(rollout_fleet &p_fleet, int p_seconds) {
 	for (int second = 0; second < p_seconds; second++) {
 		const std::size_t group = static_cast<std::size_t>(second);
@@ -46,7 +46,7 @@
 	for_group(p_fleet, static_cast<std::size_t>(p_seconds - 1), [&p_fleet](std::size_t p_node) { p_fleet.start(p_node); });
 }
 
-/** No node knows of more answers than the target gave. */
+/** Expects that no node counts more answers than the target gave. */
 void expect_no_answer_counts_twice(rollout_fleet &p_fleet) {
 	for (std::size_t i = 0; i < p_fleet.size(); i++) {
 		EXPECT_LE(p_fleet.get(i).get_verdict().answers, p_fleet.seen.at_target);
@@ -58,11 +58,11 @@
 
 } // namespace
 
-// Guards the counts of lost nodes: they left the sums, so that a bad version went on as if little was known of it.
+// The counts of failed nodes must stay in the sums. Without them a bad version kept its share, as too few bad answers were counted.
 TEST_P(rollout_loss_test, a_bad_version_goes_though_the_nodes_that_saw_its_answers_are_lost) {
 	for (const double share : { 0.12, 0.15, 0.2 }) {
 		rollout_fleet fleet = make_fleet(GetParam());
-		fleet.usual_bad_share = 0.05;
+		fleet.baseline_bad_share = 0.05;
 		fleet.target.bad_share = share;
 		fleet.order(fleet.make_order(ORDER_TIME));
 		run_with_losses(fleet, 40);
@@ -75,10 +75,10 @@
 	}
 }
 
-// Guards against counts that stay in the sums and come back with the node that counted.
+// Counts of a disconnected node stay in the sums and must not be added a second time when the node reconnects.
 TEST_P(rollout_loss_test, answers_count_once_when_nodes_are_cut_off_and_come_back) {
 	rollout_fleet fleet = make_fleet(GetParam());
-	fleet.usual_bad_share = 0.05;
+	fleet.baseline_bad_share = 0.05;
 	fleet.order(fleet.make_order(ORDER_TIME));
 	for (int second = 0; second < 20; second++) {
 		const std::size_t group = static_cast<std::size_t>(second);
@@ -94,7 +94,7 @@
 
 TEST_P(rollout_loss_test, answers_count_once_when_nodes_are_lost_and_start_again) {
 	rollout_fleet fleet = make_fleet(GetParam());
-	fleet.usual_bad_share = 0.05;
+	fleet.baseline_bad_share = 0.05;
 	fleet.order(fleet.make_order(ORDER_TIME));
 	for (int turn = 0; turn < 4; turn++) {
 		run_with_losses(fleet, 5);
@@ -104,7 +104,7 @@
 	EXPECT_TRUE(fleet.is_all(rollout_state::COMPLETED));
 }
 
-// Guards the end of an order: work that was open at a lost node is not waited for.
+// The end of an order must not wait for work that was open at a failed node.
 TEST_P(rollout_loss_test, a_good_version_is_completed_before_its_deadline_when_nodes_are_lost_for_good) {
 	rollout_fleet fleet = make_fleet(GetParam());
 	fleet.answer_time = seconds(2);
@@ -115,7 +115,7 @@
 	EXPECT_TRUE(fleet.is_all(rollout_state::COMPLETED));
 }
 
-// A fleet of one is killed as a whole; see rollout_restart_test.
+// Killing the node of a fleet of one kills the whole fleet; see rollout_restart_test.
 INSTANTIATE_TEST_SUITE_P(sizes, rollout_loss_test, ::testing::Values(9, 88, 410));
 
 } // namespace calicoscale
--- a/tests/servers/rollout/rollout_restart_test.cpp
+++ b/tests/servers/rollout/rollout_restart_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: rollout_restart_test.cpp
- * Roll-outs of fleets that are killed as a whole, at several sizes in virtual time.
+ * Roll-outs in fleets of several sizes in which all nodes are killed, in virtual time.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,8 +18,8 @@
 using std::chrono::seconds;
 
 constexpr duration ORDER_TIME = seconds(40);
-/** A node decides five times a second, and the others hear of it within a second. */
-constexpr duration TELLING = seconds(2);
+/** Upper bound of the time until a decision has reached all nodes: nodes decide five times a second and send it within a second. */
+constexpr duration PROPAGATION_TIME = seconds(2);
 
 rollout_fleet make_fleet(std::size_t p_nodes) {
 	const std::size_t endpoints = std::max<std::size_t>(4, p_nodes / 5);
@@ -34,12 +34,12 @@
 
 class rollout_restart_test : public ::testing::TestWithParam<std::size_t> {};
 
-/** A fleet of one is killed as a whole with its node. */
+/** For tests that kill a part of the fleet, which needs more than one node. */
 class rollout_several_nodes_test : public ::testing::TestWithParam<std::size_t> {};
 
 } // namespace
 
-// Guards the order's time: it began anew with each start of a whole fleet.
+// The order's time must not start again when the whole fleet restarts.
 TEST_P(rollout_restart_test, a_good_version_is_completed_before_its_deadline_whenever_all_nodes_are_killed) {
 	for (const duration at : { seconds(1), seconds(12), seconds(20), seconds(25), seconds(28) }) {
 		rollout_fleet fleet = make_fleet(GetParam());
@@ -54,7 +54,7 @@
 	}
 }
 
-// Guards the order's time where the fleet is killed again and again.
+// The order's time must not start again when the whole fleet is killed repeatedly.
 TEST_P(rollout_restart_test, a_good_version_is_completed_before_its_deadline_when_all_nodes_are_killed_repeatedly) {
 	rollout_fleet fleet = make_fleet(GetParam());
 	const instant deadline = fleet.now + ORDER_TIME;
@@ -68,26 +68,26 @@
 	EXPECT_EQ(fleet.get_stored_state(), rollout_state::COMPLETED);
 }
 
-// Guards the end of an order without an outcome: it was put off by a whole order's time.
+// An order without an outcome must end at its deadline. A restart of the whole fleet postponed the end by the full order time.
 TEST_P(rollout_restart_test, an_order_is_over_at_its_deadline_when_all_nodes_are_killed_shortly_before_or_after) {
 	for (const duration at : { seconds(24), seconds(38) }) {
 		for (const duration pause : { seconds(2), seconds(30) }) {
 			rollout_fleet fleet = make_fleet(GetParam());
-			// Nothing is completed while the present version is at work.
+			// Open work at the current version prevents the completion.
 			fleet.answer_time = seconds(60);
 			const instant deadline = fleet.now + ORDER_TIME;
 			fleet.order(fleet.make_order(ORDER_TIME));
 			fleet.run(at);
 			fleet.restart_all(pause);
 			fleet.answer_time = milliseconds(50);
-			run_until(fleet, std::max(deadline, fleet.now) + TELLING);
+			run_until(fleet, std::max(deadline, fleet.now) + PROPAGATION_TIME);
 			EXPECT_NE(fleet.get_stored_state(), rollout_state::IN_PROGRESS) << "killed at " << to_seconds(at) << " for " << to_seconds(pause);
 			EXPECT_TRUE(fleet.is_all(fleet.get_stored_state()));
 		}
 	}
 }
 
-// Guards the share of a bad version: it kept it for another order's time.
+// A restart of the whole fleet must not let a bad version keep its share for the full order time again.
 TEST_P(rollout_restart_test, a_bad_version_keeps_to_its_share_and_is_rolled_back_whenever_all_nodes_are_killed) {
 	for (const duration at : { seconds(1), seconds(12), seconds(25), seconds(30), seconds(45) }) {
 		rollout_fleet fleet = make_fleet(GetParam());
@@ -97,7 +97,7 @@
 		fleet.order(fleet.make_order(ORDER_TIME));
 		fleet.run(at);
 		fleet.restart_all(seconds(2));
-		run_until(fleet, std::max(deadline, fleet.now) + TELLING);
+		run_until(fleet, std::max(deadline, fleet.now) + PROPAGATION_TIME);
 		EXPECT_LE(static_cast<double>(fleet.seen.at_target), fleet.get_exposure_bound()) << "killed at " << to_seconds(at);
 		EXPECT_TRUE(fleet.is_all(rollout_state::ROLLED_BACK));
 		EXPECT_EQ(fleet.get_stored_state(), rollout_state::ROLLED_BACK);
@@ -107,7 +107,7 @@
 	}
 }
 
-// Guards what is decided but not written yet.
+// An outcome that was decided but not yet written is lost with the fleet and must be found again.
 TEST_P(rollout_restart_test, all_nodes_are_killed_between_the_decision_and_its_writing) {
 	for (const double bad_share : { 0.0, 0.5 }) {
 		rollout_fleet fleet = make_fleet(GetParam());
@@ -131,7 +131,7 @@
 	}
 }
 
-// Guards the time that passes while the state cannot be read.
+// The order's time must include the time during which the stored state can't be read.
 TEST_P(rollout_restart_test, the_store_is_away_when_all_nodes_start_again) {
 	rollout_fleet fleet = make_fleet(GetParam());
 	const instant deadline = fleet.now + ORDER_TIME;
@@ -147,7 +147,7 @@
 	EXPECT_TRUE(fleet.is_all(rollout_state::COMPLETED));
 }
 
-// Guards the first state: it was late because the store was away, and the order's time had run.
+// While the store is unavailable the first state is written late; the order's time must include the time before that.
 TEST_P(rollout_restart_test, the_time_before_the_first_state_was_written_counts) {
 	rollout_fleet fleet = make_fleet(GetParam());
 	fleet.is_store_up = false;
@@ -161,7 +161,7 @@
 	EXPECT_TRUE(fleet.is_all(rollout_state::COMPLETED));
 }
 
-// Guards states of earlier versions of the program, and those that something else wrote: the order goes on, with its whole time.
+// A stored state without a readable time, from an earlier version of the program or another writer: the order continues with its full time.
 TEST_P(rollout_restart_test, an_order_goes_on_from_a_state_without_a_readable_time) {
 	for (const char *field : { "", R"(,"learnt_at_ms":"yesterday")", R"(,"learnt_at_ms":-1)", R"(,"learnt_at_ms":3)" }) {
 		rollout_fleet fleet = make_fleet(GetParam());
@@ -178,7 +178,7 @@
 	}
 }
 
-// Guards a newer order: it has its own time, whatever the store holds of the one before.
+// A newer order must get its own full time although the store holds the state of the previous order.
 TEST_P(rollout_restart_test, a_newer_order_that_comes_while_all_nodes_are_away_has_its_whole_time) {
 	rollout_fleet fleet = make_fleet(GetParam());
 	fleet.order(fleet.make_order(ORDER_TIME));
@@ -186,16 +186,16 @@
 	fleet.kill_all();
 	fleet.order(fleet.make_order(ORDER_TIME, 9));
 	fleet.run(seconds(1));
-	const instant learnt_at = fleet.now;
+	const instant learned_at = fleet.now;
 	fleet.start_all();
 	fleet.run(seconds(20));
 	EXPECT_TRUE(fleet.is_all(rollout_state::IN_PROGRESS)) << "the share rises after six tenths of its own time";
 	EXPECT_FALSE(fleet.get(0).is_moving());
-	run_until(fleet, learnt_at + ORDER_TIME);
+	run_until(fleet, learned_at + ORDER_TIME);
 	EXPECT_TRUE(fleet.is_all(rollout_state::COMPLETED));
 }
 
-// Guards the order's time where times of day are set by seconds: half of the nodes before the kill, others after it.
+// Times of day that are set by a few seconds, at half of the nodes before the kill and differently after it, must not break the deadline.
 TEST_P(rollout_restart_test, a_good_version_is_completed_before_its_deadline_when_clocks_are_stepped) {
 	for (const duration step : { seconds(-3), seconds(3) }) {
 		rollout_fleet fleet = make_fleet(GetParam());
@@ -216,7 +216,7 @@
 	}
 }
 
-// Guards a fleet that goes on: a node that starts with another time of day does not move the order's time.
+// A node that restarts with a wrong time of day must not change the order's age at the running nodes.
 TEST_P(rollout_several_nodes_test, one_node_that_starts_with_another_time_of_day_changes_nothing_for_the_others) {
 	rollout_fleet fleet = make_fleet(GetParam());
 	const instant deadline = fleet.now + ORDER_TIME;
@@ -235,7 +235,7 @@
 	EXPECT_TRUE(fleet.is_all(rollout_state::COMPLETED));
 }
 
-// Guards a log that comes back from an older copy: the order stands at another position and goes on.
+// After the log was restored from an older copy the order has another position and must continue with its age.
 TEST_P(rollout_restart_test, the_order_is_written_again_after_the_log_lost_it_while_all_nodes_were_away) {
 	rollout_fleet fleet = make_fleet(GetParam());
 	const instant deadline = fleet.now + ORDER_TIME;
@@ -251,7 +251,7 @@
 	EXPECT_TRUE(fleet.is_all(rollout_state::COMPLETED));
 }
 
-// Guards an order to a version that was ordered long before: what the store holds of that one is no age.
+// The stored state of an old order to the same version must not be used as the age of a new order.
 TEST_P(rollout_restart_test, the_age_of_an_order_of_an_older_copy_of_the_log_is_not_that_of_a_later_one) {
 	rollout_fleet fleet = make_fleet(GetParam());
 	fleet.order(fleet.make_order(ORDER_TIME));
@@ -266,7 +266,7 @@
 	EXPECT_TRUE(fleet.is_all(rollout_state::COMPLETED));
 }
 
-// Guards a fleet that goes on: a node whose time of day is wrong reads the store before it hears the others.
+// A node with a wrong time of day that reads the store before its first contact with others must adopt the age of the running nodes.
 TEST(rollout_restart, an_age_by_the_time_of_day_gives_way_to_that_of_nodes_that_went_on) {
 	const rollout_order order{ "s", "2", ORDER_TIME, log_position{ 0, 5 }, false };
 	const instant start{ seconds(100) };
@@ -283,7 +283,7 @@
 	}
 }
 
-// Guards what a node acted on: the first age that the fleet went by stands.
+// Once a node has acted on an estimated age, later estimates must not replace it.
 TEST(rollout_restart, an_age_by_the_time_of_day_stands_once_a_node_acted_on_it) {
 	const rollout_order order{ "s", "2", ORDER_TIME, log_position{ 0, 5 }, false };
 	const instant start{ seconds(100) };
--- a/tests/servers/rollout/rollout_test.cpp
+++ b/tests/servers/rollout/rollout_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: rollout_test.cpp
- * Services that are moved to another version, at fleets of several sizes in virtual time.
+ * Roll-outs of a service to another version, in fleets of several sizes in virtual time.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -20,7 +20,7 @@
 
 constexpr duration ORDER_TIME = seconds(40);
 
-/** Endpoints of each version at a fleet of some size. */
+/** Makes a fleet with a number of endpoints of each version that fits its size. */
 rollout_fleet make_fleet(std::size_t p_nodes, double p_rate = 300.0) {
 	const std::size_t endpoints = std::max<std::size_t>(4, p_nodes / 5);
 	rollout_fleet fleet(p_nodes, endpoints, endpoints);
@@ -88,7 +88,7 @@
 TEST_P(rollout_fleet_test, a_version_that_is_bad_under_load_only_goes) {
 	rollout_fleet fleet = make_fleet(GetParam());
 	fleet.target.bad_share = 0.6;
-	// Above half of what each endpoint gets when all traffic is at this version.
+	// Half of the load of each endpoint when all traffic goes to this version.
 	fleet.target.bad_above = 0.5 * fleet.rate / static_cast<double>(std::max<std::size_t>(4, GetParam() / 5));
 	fleet.order(fleet.make_order(ORDER_TIME));
 	fleet.run(ORDER_TIME);
@@ -97,7 +97,7 @@
 
 TEST_P(rollout_fleet_test, ordinary_failures_and_one_bad_endpoint_are_no_bad_version) {
 	rollout_fleet fleet = make_fleet(GetParam());
-	fleet.usual_bad_share = 0.05;
+	fleet.baseline_bad_share = 0.05;
 	fleet.target.bad_share = 0.3;
 	fleet.target.bad_endpoint = "new-1";
 	fleet.order(fleet.make_order(ORDER_TIME));
@@ -107,7 +107,7 @@
 
 TEST_P(rollout_fleet_test, a_good_version_under_an_overload_that_both_versions_feel_is_not_rolled_back) {
 	rollout_fleet fleet = make_fleet(GetParam());
-	fleet.usual_bad_share = 0.4;
+	fleet.baseline_bad_share = 0.4;
 	fleet.order(fleet.make_order(ORDER_TIME));
 	fleet.run(ORDER_TIME);
 	EXPECT_TRUE(fleet.is_all(rollout_state::COMPLETED));
@@ -183,7 +183,7 @@
 	EXPECT_FALSE(entry.get_unwritten());
 }
 
-// Guards against closed windows that count twice: a node that was told of a later window tells what it counted by that window too.
+// Closed windows must not count twice: a node that has received a later window number must use it in its own report too.
 TEST(rollout, a_report_is_of_the_window_that_what_is_told_beside_it_has_closed) {
 	const instant start(seconds(100));
 	rollout entry(rollout_bounds(), rollout_order{ "s", "2", ORDER_TIME, log_position{ 0, 5 }, false }, start);
@@ -228,29 +228,29 @@
 	EXPECT_EQ(fleet.refused, 0U);
 }
 
-// Guards orders that arrive while as many are open as are told at a time.
+// Orders that arrive while the maximum number is open must wait and then start in the order of the log.
 TEST(rollout, an_order_beyond_the_most_at_a_time_begins_when_another_is_over_in_the_order_of_the_log) {
 	rollout_table table{ rollout_bounds() };
 	const auto make_order = [](std::uint64_t p_number, bool p_is_withdrawn = false) {
 		return rollout_order{ "s" + std::to_string(p_number), "2", ORDER_TIME, log_position{ 0, p_number + (p_is_withdrawn ? 100 : 0) }, p_is_withdrawn };
 	};
 	const auto consider = [&table](int p_second) { table.consider([](const rollout &) { return rollout_view(); }, instant(seconds(p_second))); };
-	const std::uint64_t most = rollout_table::MOST_SERVICES;
-	for (std::uint64_t i = 0; i < most + 2; i++) {
+	const std::uint64_t max_services = rollout_table::MOST_SERVICES;
+	for (std::uint64_t i = 0; i < max_services + 2; i++) {
 		table.take_records({ make_order(i) }, instant(seconds(1)));
 	}
 	consider(2);
-	EXPECT_EQ(table.get_all().size(), most);
+	EXPECT_EQ(table.get_all().size(), max_services);
 	table.take_records({ make_order(3, true) }, instant(seconds(3)));
 	consider(4);
-	EXPECT_NE(table.find("s" + std::to_string(most)), nullptr);
-	EXPECT_EQ(table.find("s" + std::to_string(most + 1)), nullptr);
-	table.take_records({ make_order(most + 1, true) }, instant(seconds(5)));
+	EXPECT_NE(table.find("s" + std::to_string(max_services)), nullptr);
+	EXPECT_EQ(table.find("s" + std::to_string(max_services + 1)), nullptr);
+	table.take_records({ make_order(max_services + 1, true) }, instant(seconds(5)));
 	table.take_records({ make_order(5, true) }, instant(seconds(5)));
 	consider(6);
-	const rollout *taken_back = table.find("s" + std::to_string(most + 1));
-	ASSERT_NE(taken_back, nullptr);
-	EXPECT_EQ(taken_back->get_side("2"), version_side::BARRED) << "taken back while it waited";
+	const rollout *withdrawn = table.find("s" + std::to_string(max_services + 1));
+	ASSERT_NE(withdrawn, nullptr);
+	EXPECT_EQ(withdrawn->get_side("2"), version_side::BARRED) << "taken back while it waited";
 }
 
 TEST(rollout, an_order_that_is_written_again_after_the_log_lost_it_goes_on) {
--- a/tests/servers/rollout/version_record_test.cpp
+++ b/tests/servers/rollout/version_record_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: version_record_test.cpp
- * Answers since an order, from sums that rise and fall with the nodes that are heard.
+ * Answers since an order, accumulated from sums that rise and fall with the nodes that report.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -30,8 +30,8 @@
 	return cells.size() == 1 ? cells.front() : version_cell();
 }
 
-/** Takes the same sum for as long as a window is open. */
-void take_lasting(version_record &r_record, const version_windows &p_total, instant &r_now) {
+/** Applies the same sum repeatedly for the length of a window. */
+void apply_for_one_window(version_record &r_record, const version_windows &p_total, instant &r_now) {
 	for (const instant until = r_now + seconds(2); r_now < until; r_now += milliseconds(200)) {
 		r_record.take_total(p_total, r_now);
 	}
@@ -39,39 +39,39 @@
 
 } // namespace
 
-// Guards the counts of lost nodes: they left with the node.
+// Counts of a failed node must be kept although the sums of the fleet no longer contain them.
 TEST(version_record, what_a_lost_node_counted_stays) {
 	version_record record;
 	instant now{ seconds(100) };
-	take_lasting(record, version_windows(4, make_tally(30, 5), make_tally(10, 1)), now);
-	take_lasting(record, version_windows(4, make_tally(12, 2), {}), now);
+	apply_for_one_window(record, version_windows(4, make_tally(30, 5), make_tally(10, 1)), now);
+	apply_for_one_window(record, version_windows(4, make_tally(12, 2), {}), now);
 	EXPECT_EQ(get_all(record), (version_cell{ ROUTE, 0, 40, 6 }));
 	record.advance_to(6);
-	take_lasting(record, version_windows(6, make_tally(3, 3), {}), now);
+	apply_for_one_window(record, version_windows(6, make_tally(3, 3), {}), now);
 	EXPECT_EQ(get_all(record), (version_cell{ ROUTE, 0, 43, 9 }));
 }
 
-// Guards against counting twice: a node that changes its hub is in two sums for a moment.
+// A node that changes its hub is briefly in the sums of both hubs and must not be counted twice.
 TEST(version_record, what_is_in_two_sums_for_a_moment_is_not_kept_twice) {
 	version_record record;
 	instant now{ seconds(100) };
-	take_lasting(record, version_windows(4, make_tally(30, 5), {}), now);
+	apply_for_one_window(record, version_windows(4, make_tally(30, 5), {}), now);
 	for (const instant until = now + milliseconds(500); now < until; now += milliseconds(50)) {
 		record.take_total(version_windows(4, make_tally(60, 10), {}), now);
 	}
-	take_lasting(record, version_windows(4, make_tally(30, 5), {}), now);
+	apply_for_one_window(record, version_windows(4, make_tally(30, 5), {}), now);
 	EXPECT_EQ(get_all(record), (version_cell{ ROUTE, 0, 30, 5 }));
 }
 
 TEST(version_record, what_a_node_counted_that_was_cut_off_is_in_its_window_once) {
 	version_record record;
 	instant now{ seconds(100) };
-	take_lasting(record, version_windows(4, make_tally(30, 5), {}), now);
-	take_lasting(record, version_windows(4, make_tally(10, 1), {}), now);
-	take_lasting(record, version_windows(4, make_tally(33, 5), {}), now);
+	apply_for_one_window(record, version_windows(4, make_tally(30, 5), {}), now);
+	apply_for_one_window(record, version_windows(4, make_tally(10, 1), {}), now);
+	apply_for_one_window(record, version_windows(4, make_tally(33, 5), {}), now);
 	record.advance_to(9);
 	EXPECT_EQ(get_all(record), (version_cell{ ROUTE, 0, 33, 5 }));
-	take_lasting(record, version_windows(4, make_tally(33, 5), {}), now);
+	apply_for_one_window(record, version_windows(4, make_tally(33, 5), {}), now);
 	EXPECT_EQ(get_all(record), (version_cell{ ROUTE, 0, 33, 5 })) << "the window was closed";
 }
 
@@ -80,8 +80,8 @@
 	version_record other;
 	instant now{ seconds(100) };
 	const version_windows total(4, make_tally(30, 5), make_tally(10, 1));
-	take_lasting(record, total, now);
-	take_lasting(other, total, now);
+	apply_for_one_window(record, total, now);
+	apply_for_one_window(other, total, now);
 	other.advance_to(6);
 	record.take_past(other.get_past(), other.get_index());
 	record.take_past(other.get_past(), other.get_index());
@@ -93,7 +93,7 @@
 	EXPECT_EQ(get_all(started), (version_cell{ ROUTE, 0, 40, 6 })) << "a node that starts learns what is over";
 }
 
-// Guards messages and memory: they grow with routes and groups, not with windows or nodes.
+// Sizes of messages and memory must depend on routes and groups only, not on the number of windows or nodes.
 TEST(version_record, what_is_kept_is_bounded) {
 	version_record record;
 	instant now{ seconds(100) };
@@ -102,11 +102,11 @@
 		for (std::uint32_t route = 0; route < 40; route++) {
 			tally.add({ version_cell{ window * 40 + route + 1, static_cast<std::uint8_t>(route % 9), 5, 1 } });
 		}
-		take_lasting(record, version_windows(window, tally, {}), now);
+		apply_for_one_window(record, version_windows(window, tally, {}), now);
 	}
-	const std::size_t most = (version_tally::MOST_ROUTES + 1) * (version_tally::TARGET_GROUPS + 1);
-	EXPECT_LE(record.get_past().get_cells().size(), most);
-	EXPECT_LE(record.get_all().get_cells().size(), most);
+	const std::size_t max_cells = (version_tally::MOST_ROUTES + 1) * (version_tally::TARGET_GROUPS + 1);
+	EXPECT_LE(record.get_past().get_cells().size(), max_cells);
+	EXPECT_LE(record.get_all().get_cells().size(), max_cells);
 }
 
 TEST(version_windows, reports_of_different_windows_are_added_window_by_window) {
