--- a/misc/scripts/mutations.sh
+++ b/misc/scripts/mutations.sh
@@ -53,18 +53,18 @@
 mutate "token order" "a repeated token is passed on" $flow "if (p_offset < _tokens.size())" "if (p_offset + 1000 < _tokens.size())" request_flow_test
 mutate "stream digest" "it is not compared" $flow "p_end.token_count == _tokens.size() && p_end.digest == _digest.to_string()" "true" request_flow_test
 mutate "continuation" "another endpoint starts afresh behind the tokens sent" $flow "attempt.start = _tokens.empty() ? stream_start::FRESH : stream_start::CONTINUE;" "attempt.start = stream_start::FRESH;" request_flow_test
-mutate "deadline before the first byte" "a place given late is used" $flow "_place_given = p_now;
-	if (p_now >= _plan.deadline)" "_place_given = p_now;
+mutate "deadline before the first byte" "a place given late is used" $flow "_slot_granted_at = p_now;
+	if (p_now >= _plan.deadline)" "_slot_granted_at = p_now;
 	if (false)" request_flow_test
-mutate "pool places" "a place is not given back on failure" $flow "r_actions.emplace_back(return_place{ _stage, get_place_use(_last_failure)" "if (false) r_actions.emplace_back(return_place{ _stage, get_place_use(_last_failure)" request_flow_test
+mutate "pool places" "a place is not given back on failure" $flow "r_actions.emplace_back(return_place{ _stage, get_slot_outcome(_last_failure)" "if (false) r_actions.emplace_back(return_place{ _stage, get_slot_outcome(_last_failure)" request_flow_test
 mutate "cancellation" "open attempts are left running at the end" $flow "r_actions.emplace_back(cancel_attempt{ attempt.id, attempt.settle_id, use });" "" request_flow_test
-mutate "leaving marks" "a list may bring an endpoint back" servers/routing/router.cpp "endpoint->leaving = p_listing.leaving || _has_left(p_listing.vm, p_listing.incarnation);" "endpoint->leaving = p_listing.leaving;" routing_test
+mutate "leaving marks" "a list may bring an endpoint back" servers/routing/router.cpp "endpoint->leaving = p_listing.leaving || _is_marked_leaving(p_listing.vm, p_listing.incarnation);" "endpoint->leaving = p_listing.leaving;" routing_test
 mutate "ejection cap" "there is none" servers/routing/router.cpp "return static_cast<double>(ejected + 1) <= _settings.max_ejected_share * static_cast<double>(pool_size);" "return pool_size + ejected > 0;" routing_test
-mutate "affinity bound" "load does not matter" servers/routing/router.cpp "predict_finish(p_endpoint, p_now) <= AFFINITY_BOUND" "true" routing_test
+mutate "affinity bound" "load does not matter" servers/routing/router.cpp "predict_finish(p_endpoint, p_now) <= AFFINITY_MAX_FINISH" "true" routing_test
 mutate "fair queue" "weights do not matter" servers/limits/fair_queue.cpp "customer.virtual_start += 1.0 / customer.weight;" "customer.virtual_start += 1.0;" limits_test
-mutate "queue bound" "there is none" servers/limits/fair_queue.cpp "if (_places.size() < _capacity)" "if (true)" limits_test
+mutate "queue bound" "there is none" servers/limits/fair_queue.cpp "if (_positions.size() < _capacity)" "if (true)" limits_test
 mutate "retry budget" "it is not spent" servers/limits/share_budget.cpp "_balance -= 1.0;" "" limits_test
-mutate "limit shares" "a cut-off zone's share is lent out" servers/limits/limit_share.cpp "if (!zone.heard || p_rate <= 0.0)" "if (p_rate <= 0.0)" limits_test
+mutate "limit shares" "a cut-off zone's share is lent out" servers/limits/limit_share.cpp "if (!zone.has_valid_grant || p_rate <= 0.0)" "if (p_rate <= 0.0)" limits_test
 mutate "claims" "the last claim wins" servers/once/claim_book.cpp "const bool is_own = known.vm == _vm && known.incarnation == _incarnation;
 	if (is_own) {" "const bool is_own = true;
 	if (is_own) {" once_test
--- a/servers/request/request_action.h
+++ b/servers/request/request_action.h
@@ -31,7 +31,7 @@
 enum class cost_use {
 	USEFUL, ///< Its result is part of an answer that was completed in time.
 	RETRIED, ///< It failed and another attempt followed.
-	HEDGED, ///< Another attempt of the hedged pair finished first, or the hedge failed.
+	HEDGED, ///< The other attempt of a hedged pair was faster, or the hedge failed.
 	LATE, ///< The request missed its deadline.
 	CANCELLED, ///< The caller disconnected.
 	FAILED, ///< The request failed otherwise.
--- a/tests/servers/request_flow_test.cpp
+++ b/tests/servers/request_flow_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: request_flow_test.cpp
- * Properties of a request's flow under random faults, times and orders.
+ * Properties of request_flow under random faults, delays and orders of events.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -20,14 +20,14 @@
 
 namespace {
 
-/** How a fake endpoint treats an attempt. The first is the harmless one. */
-enum class fate {
+/** How a fake endpoint treats an attempt. The first value is the one without a fault. */
+enum class endpoint_behaviour {
 	COMPLETE,
 	REFUSE_CONNECTION,
 	REFUSE_BUSY,
 	REFUSE_LEAVING,
 	LOSE_AFTER_RUNNING,
-	LOSE_BEFORE_RUNNING, ///< Bytes were handed over, but nothing ran.
+	LOSE_BEFORE_RUNNING, ///< The request was sent, but not executed.
 	FAIL_AFTER_RUNNING,
 	HANG,
 	TWICE,
@@ -38,7 +38,7 @@
 	COUNT,
 };
 
-/** Endpoints, pool places and time around one flow. */
+/** Simulates endpoints, pool slots and time around one request_flow. */
 class flow_world {
 	struct event {
 		instant at;
@@ -56,12 +56,12 @@
 	std::multimap<instant, std::function<void()>> _events;
 	std::optional<instant> _wake;
 	instant _now{};
-	std::map<std::size_t, int> _runs; ///< Executions by stage; a resumed stream is none of its own.
+	std::map<std::size_t, int> _runs; ///< Executions by stage; resuming a stream isn't an execution.
 	std::map<attempt_id, stream_state> _streams;
 	std::map<attempt_id, bool> _open;
 	std::vector<std::string> _forwarded;
-	int _places = 0;
-	bool _asking = false;
+	int _slots_held = 0;
+	bool _is_slot_requested = false;
 	int _finishes = 0;
 	finish_request _finish;
 	int _booked_useful = 0;
@@ -82,32 +82,32 @@
 
 	void _do(const ask_place &) {
 		RC_ASSERT(_finishes == 0);
-		RC_ASSERT(!_asking);
-		RC_ASSERT(_places == 0);
-		_asking = true;
+		RC_ASSERT(!_is_slot_requested);
+		RC_ASSERT(_slots_held == 0);
+		_is_slot_requested = true;
 		const bool denied = _choices.one_in(12);
 		_at(_choices.one_in(6) ? _draw_delay() : duration::zero(), [this, denied] {
-			if (!_asking) {
+			if (!_is_slot_requested) {
 				return;
 			}
-			_asking = false;
+			_is_slot_requested = false;
 			if (denied) {
 				_apply(_flow->on_place_denied(reason::QUEUE_FULL, _now));
 				return;
 			}
-			_places++;
+			_slots_held++;
 			_apply(_flow->on_place_given(_now));
 		});
 	}
 
 	void _do(const return_place &) {
-		_places--;
-		RC_ASSERT(_places == 0);
+		_slots_held--;
+		RC_ASSERT(_slots_held == 0);
 	}
 
 	void _do(const withdraw_place &) {
-		RC_ASSERT(_asking);
-		_asking = false;
+		RC_ASSERT(_is_slot_requested);
+		_is_slot_requested = false;
 	}
 
 	void _end(const attempt_id &p_id, const attempt_end &p_end) {
@@ -123,22 +123,22 @@
 
 	void _do(const start_attempt &p_action) {
 		RC_ASSERT(_finishes == 0);
-		RC_ASSERT(_places == 1);
+		RC_ASSERT(_slots_held == 1);
 		RC_ASSERT(_now < _plan.deadline);
 		_open[p_action.id] = true;
 		const bool is_stream = _plan.stages[p_action.id.stage].kind == stage_kind::GENERATE;
-		const fate chosen = _choices.one_in(3) ? static_cast<fate>(_choices.pick(static_cast<std::uint32_t>(fate::COUNT))) : fate::COMPLETE;
+		const endpoint_behaviour chosen = _choices.one_in(3) ? static_cast<endpoint_behaviour>(_choices.pick(static_cast<std::uint32_t>(endpoint_behaviour::COUNT))) : endpoint_behaviour::COMPLETE;
 		switch (chosen) {
-			case fate::REFUSE_CONNECTION:
+			case endpoint_behaviour::REFUSE_CONNECTION:
 				_end_later(p_action.id, verdict::NOT_RUN, reason::CONNECT_FAILED);
 				return;
-			case fate::REFUSE_BUSY:
+			case endpoint_behaviour::REFUSE_BUSY:
 				_end_later(p_action.id, verdict::NOT_RUN, reason::REFUSED_BUSY);
 				return;
-			case fate::REFUSE_LEAVING:
+			case endpoint_behaviour::REFUSE_LEAVING:
 				_end_later(p_action.id, verdict::NOT_RUN, reason::REFUSED_LEAVING);
 				return;
-			case fate::LOSE_BEFORE_RUNNING:
+			case endpoint_behaviour::LOSE_BEFORE_RUNNING:
 				_end_later(p_action.id, verdict::MAY_HAVE_RUN, reason::CONNECTION_LOST);
 				return;
 			default:
@@ -152,21 +152,21 @@
 		if (is_stream) {
 			_run_stream(p_action, chosen);
 		} else {
-			_run_whole(p_action, chosen);
+			_run_call(p_action, chosen);
 		}
 	}
 
-	void _run_whole(const start_attempt &p_action, fate p_fate) {
+	void _run_call(const start_attempt &p_action, endpoint_behaviour p_behaviour) {
 		_runs[p_action.id.stage]++;
-		switch (p_fate) {
-			case fate::LOSE_AFTER_RUNNING:
-			case fate::LOSE_MID_STREAM:
+		switch (p_behaviour) {
+			case endpoint_behaviour::LOSE_AFTER_RUNNING:
+			case endpoint_behaviour::LOSE_MID_STREAM:
 				_end_later(p_action.id, verdict::MAY_HAVE_RUN, reason::CONNECTION_LOST);
 				return;
-			case fate::FAIL_AFTER_RUNNING:
+			case endpoint_behaviour::FAIL_AFTER_RUNNING:
 				_end_later(p_action.id, verdict::MAY_HAVE_RUN, reason::ENDPOINT_ERROR);
 				return;
-			case fate::HANG:
+			case endpoint_behaviour::HANG:
 				return;
 			default:
 				break;
@@ -178,12 +178,12 @@
 		end.units = 1.0;
 		const attempt_id id = p_action.id;
 		_at(_draw_delay(), [this, id, end] { _end(id, end); });
-		if (p_fate == fate::TWICE) {
+		if (p_behaviour == endpoint_behaviour::TWICE) {
 			_at(_draw_delay(), [this, id, end] { _end(id, end); });
 		}
 	}
 
-	void _run_stream(const start_attempt &p_action, fate p_fate) {
+	void _run_stream(const start_attempt &p_action, endpoint_behaviour p_behaviour) {
 		if (p_action.start == stream_start::RESUME) {
 			_streams[p_action.id].tokens = _streams[p_action.resume_of].tokens;
 		} else {
@@ -191,7 +191,7 @@
 			_streams[p_action.id].tokens = p_action.start == stream_start::CONTINUE ? _flow->get_tokens() : std::vector<std::string>();
 			_complete_tokens(p_action.id);
 		}
-		if (p_fate == fate::HANG) {
+		if (p_behaviour == endpoint_behaviour::HANG) {
 			return;
 		}
 		const attempt_id id = p_action.id;
@@ -199,18 +199,18 @@
 		const std::vector<std::string> tokens = _streams[id].tokens;
 		for (std::uint32_t offset = p_action.from_offset; offset < tokens.size(); offset++) {
 			const bool is_second = offset == p_action.from_offset + 1;
-			if (is_second && (p_fate == fate::LOSE_MID_STREAM || p_fate == fate::LOSE_AFTER_RUNNING)) {
+			if (is_second && (p_behaviour == endpoint_behaviour::LOSE_MID_STREAM || p_behaviour == endpoint_behaviour::LOSE_AFTER_RUNNING)) {
 				attempt_end lost;
 				lost.result = outcome{ verdict::MAY_HAVE_RUN, reason::CONNECTION_LOST };
 				_at(delay, [this, id, lost] { _end(id, lost); });
 				return;
 			}
-			if (is_second && p_fate == fate::LEAVE_TOKEN_OUT) {
+			if (is_second && p_behaviour == endpoint_behaviour::LEAVE_TOKEN_OUT) {
 				continue;
 			}
 			const auto send = [this, id, offset, token = tokens[offset]] { _apply(_flow->on_token(id, offset, token, _now)); };
 			_at(delay, send);
-			if (is_second && p_fate == fate::REPEAT_TOKEN) {
+			if (is_second && p_behaviour == endpoint_behaviour::REPEAT_TOKEN) {
 				_at(delay, send);
 			}
 			delay += std::chrono::milliseconds(_choices.pick(4));
@@ -224,14 +224,14 @@
 		for (const std::string &token : tokens) {
 			digest.add(token);
 		}
-		if (p_fate == fate::WRONG_DIGEST) {
+		if (p_behaviour == endpoint_behaviour::WRONG_DIGEST) {
 			digest.add("something else");
 		}
 		done.digest = digest.to_string();
 		_at(delay, [this, id, done] { _end(id, done); });
 	}
 
-	/** Every attempt generates its own text, so that a splice of two generations breaks the chain. */
+	/** Each attempt generates its own text, so that mixing tokens of two generations is detected by the check of the token chain. */
 	void _complete_tokens(const attempt_id &p_id) {
 		std::vector<std::string> &tokens = _streams[p_id].tokens;
 		while (tokens.size() < TOKENS) {
@@ -276,8 +276,8 @@
 
 	void _check_end() const {
 		RC_ASSERT(_finishes == 1);
-		RC_ASSERT(_places == 0);
-		RC_ASSERT(!_asking);
+		RC_ASSERT(_slots_held == 0);
+		RC_ASSERT(!_is_slot_requested);
 		RC_ASSERT(_open.empty());
 		int runs = 0;
 		for (const auto &[stage, count] : _runs) {
@@ -348,7 +348,7 @@
 				continue;
 			}
 			const auto next = _events.begin();
-			// A pause of the process now and then delays everything after it.
+			// A random stall of the process delays all following events.
 			_now = std::max(_now, next->first);
 			if (_choices.one_in(60)) {
 				_now += std::chrono::milliseconds(_choices.pick(600));
