--- a/servers/limits/pool_gate.h
+++ b/servers/limits/pool_gate.h
@@ -37,7 +37,7 @@
 	share_budget _spare_retries; ///< Additional retries while the pool has spare capacity.
 	share_budget _hedges;
 	double _refused_share = 0.0; ///< Moving average of the share of refused attempts.
-	double _seconds_per_slot = 0.0; ///< Moving average of the time for which a slot is held_seconds.
+	double _seconds_per_slot = 0.0; ///< Moving average of the time for which a slot is held.
 
 	void _fill(instant p_now, gate_changes &r_changes);
 	bool _has_spare_capacity() const;
@@ -55,7 +55,7 @@
 
 	/**
 	 * Releases a request's slot.
-	 * @param p_held_time time for which it was held_seconds.
+	 * @param p_held_time time for which it was held.
 	 * @param p_relative_latency latency divided by the typical one; used for SUCCEEDED.
 	 */
 	gate_changes leave(place_use p_use, duration p_held_time, double p_relative_latency, instant p_now);
--- a/servers/rollout/rollout.cpp
+++ b/servers/rollout/rollout.cpp
@@ -78,17 +78,17 @@
 	return true;
 }
 
-void rollout::_apply_reported_age(const told_rollout &p_told, instant p_now) {
+void rollout::_apply_reported_age(const told_rollout &p_update, instant p_now) {
 	// A node that has just restarted must not change the age at running nodes because its time of day was set.
 	const bool is_known = _is_confirmed && !_is_age_estimated;
-	if (is_known && p_told.is_age_estimated) {
+	if (is_known && p_update.is_age_estimated) {
 		return;
 	}
-	const instant learned_at = p_now - p_told.age;
-	const bool is_better_known = _is_age_estimated && p_told.is_confirmed && !p_told.is_age_estimated;
+	const instant learned_at = p_now - p_update.age;
+	const bool is_better_known = _is_age_estimated && p_update.is_confirmed && !p_update.is_age_estimated;
 	if (is_better_known || learned_at < _learned_at) {
 		_learned_at = learned_at;
-		_is_age_estimated = p_told.is_age_estimated;
+		_is_age_estimated = p_update.is_age_estimated;
 	}
 }
 
@@ -108,29 +108,29 @@
 	}
 }
 
-bool rollout::take_told(const told_rollout &p_told, instant p_now) {
-	bool is_new = take_order(p_told.order, p_now);
-	if (p_told.order.at != _order.at) {
+bool rollout::take_told(const told_rollout &p_update, instant p_now) {
+	bool is_new = take_order(p_update.order, p_now);
+	if (p_update.order.at != _order.at) {
 		return is_new;
 	}
-	_apply_reported_age(p_told, p_now);
-	is_new = is_new || (p_told.is_confirmed && !_is_confirmed) || (p_told.is_written && !_is_written);
-	_is_confirmed = _is_confirmed || p_told.is_confirmed;
-	if (p_told.report.order == _order.at) {
-		_record.take_past(p_told.past, p_told.report.answers.get_index());
+	_apply_reported_age(p_update, p_now);
+	is_new = is_new || (p_update.is_confirmed && !_is_confirmed) || (p_update.is_written && !_is_written);
+	_is_confirmed = _is_confirmed || p_update.is_confirmed;
+	if (p_update.report.order == _order.at) {
+		_record.take_past(p_update.past, p_update.report.answers.get_index());
 	}
-	for (const std::string &version : p_told.barred) {
+	for (const std::string &version : p_update.barred) {
 		if (_order.is_withdrawn || version != _order.target_version) {
 			_blocked_versions.insert(version);
 		}
 	}
-	const bool is_final = p_told.state != rollout_state::IN_PROGRESS;
-	if (is_final && !_is_written && (p_told.is_written || _state == rollout_state::IN_PROGRESS)) {
-		is_new = is_new || _state != p_told.state;
-		_set_state(p_told.state);
-		_is_written = p_told.is_written;
+	const bool is_final = p_update.state != rollout_state::IN_PROGRESS;
+	if (is_final && !_is_written && (p_update.is_written || _state == rollout_state::IN_PROGRESS)) {
+		is_new = is_new || _state != p_update.state;
+		_set_state(p_update.state);
+		_is_written = p_update.is_written;
 	}
-	if (p_told.is_moving && !_moving_since) {
+	if (p_update.is_moving && !_moving_since) {
 		_moving_since = p_now;
 		is_new = true;
 	}
@@ -282,16 +282,16 @@
 }
 
 told_rollout rollout::get_told(instant p_now) const {
-	told_rollout told;
-	told.order = _order;
-	told.age = get_age(p_now);
-	told.is_age_estimated = _is_age_estimated;
-	told.state = _state;
-	told.is_confirmed = _is_confirmed;
-	told.is_written = _is_written;
-	told.is_moving = _moving_since.has_value();
-	told.barred.assign(_blocked_versions.begin(), _blocked_versions.end());
-	return told;
+	told_rollout update;
+	update.order = _order;
+	update.age = get_age(p_now);
+	update.is_age_estimated = _is_age_estimated;
+	update.state = _state;
+	update.is_confirmed = _is_confirmed;
+	update.is_written = _is_written;
+	update.is_moving = _moving_since.has_value();
+	update.barred.assign(_blocked_versions.begin(), _blocked_versions.end());
+	return update;
 }
 
 std::optional<rollout_status> rollout::get_unwritten() const {
--- a/servers/rollout/rollout.h
+++ b/servers/rollout/rollout.h
@@ -77,7 +77,7 @@
 	std::uint32_t _open_at_present = 0;
 
 	void _begin(const rollout_order &p_order, instant p_learned_at);
-	void _apply_reported_age(const told_rollout &p_told, instant p_now);
+	void _apply_reported_age(const told_rollout &p_update, instant p_now);
 	void _apply_stored_age(const rollout_status &p_status, instant p_now);
 	void _set_state(rollout_state p_state);
 	bool _is_ended() const { return _state != rollout_state::IN_PROGRESS || _order.is_withdrawn; }
@@ -93,7 +93,7 @@
 	bool take_order(const rollout_order &p_order, instant p_now);
 
 	/** Applies an update of a peer. Returns whether it contains anything new that has to be forwarded. */
-	bool take_told(const told_rollout &p_told, instant p_now);
+	bool take_told(const told_rollout &p_update, instant p_now);
 
 	/** Applies the state that was read from the store. Returns whether it belongs to this order. */
 	bool take_status(const rollout_status &p_status, instant p_now);
--- a/servers/rollout/rollout_table.cpp
+++ b/servers/rollout/rollout_table.cpp
@@ -122,19 +122,19 @@
 	}
 }
 
-bool rollout_table::take_told(const std::vector<told_rollout> &p_told, instant p_now) {
+bool rollout_table::take_told(const std::vector<told_rollout> &p_updates, instant p_now) {
 	bool is_new = false;
-	for (const told_rollout &told : p_told) {
-		rollout *known = _find(told.order.service);
-		if (known == nullptr || known->get_order().at < told.order.at) {
-			_apply(told.order, p_now);
-			known = _find(told.order.service);
-			if (known == nullptr || known->get_order().at != told.order.at) {
+	for (const told_rollout &update : p_updates) {
+		rollout *known = _find(update.order.service);
+		if (known == nullptr || known->get_order().at < update.order.at) {
+			_apply(update.order, p_now);
+			known = _find(update.order.service);
+			if (known == nullptr || known->get_order().at != update.order.at) {
 				continue;
 			}
 			is_new = true;
 		}
-		is_new = known->take_told(told, p_now) || is_new;
+		is_new = known->take_told(update, p_now) || is_new;
 	}
 	return is_new;
 }
@@ -164,16 +164,16 @@
 }
 
 std::vector<told_rollout> rollout_table::get_told(const rollout_reports &p_reports, instant p_now) const {
-	std::vector<told_rollout> told;
+	std::vector<told_rollout> updates;
 	for (const auto &[service, entry] : _rollouts) {
-		told.push_back(entry.get_told(p_now));
+		updates.push_back(entry.get_told(p_now));
 		const auto report = p_reports.find(service);
 		if (report != p_reports.end() && report->second.order == entry.get_order().at) {
-			told.back().report = report->second;
-			told.back().past = entry.get_past();
+			updates.back().report = report->second;
+			updates.back().past = entry.get_past();
 		}
 	}
-	return told;
+	return updates;
 }
 
 std::vector<rollout_change> rollout_table::take_changes() {
--- a/servers/rollout/rollout_table.h
+++ b/servers/rollout/rollout_table.h
@@ -67,7 +67,7 @@
 	void take_whole(const std::vector<rollout_order> &p_orders, const log_position &p_known, instant p_now);
 
 	/** Applies updates of a peer. Returns whether any of them contains something new. */
-	bool take_told(const std::vector<told_rollout> &p_told, instant p_now);
+	bool take_told(const std::vector<told_rollout> &p_updates, instant p_now);
 
 	/** Sets the endpoints that aren't leaving: pairs of name and version by service. */
 	void set_endpoints(std::map<std::string, std::vector<std::pair<std::string, std::string>>> p_endpoints);
--- a/tests/servers/rollout/rollout_fleet.h
+++ b/tests/servers/rollout/rollout_fleet.h
@@ -66,7 +66,7 @@
 
 	struct fleet_update {
 		instant at{};
-		std::vector<told_rollout> told;
+		std::vector<told_rollout> updates;
 		rollout_reports total;
 		std::size_t live = 0;
 	};
@@ -301,8 +301,8 @@
 			entry.table.find(SERVICE)->set_open_at_present(entry.runs.count_others(SERVICE, "2"));
 			if (!entry.is_cut_off) {
 				add_reports(update.total, entry.table.get_reports(now));
-				const std::vector<told_rollout> told = entry.table.get_told(update.live < HUBS ? entry.table.get_reports(now) : rollout_reports(), now);
-				update.told.insert(update.told.end(), told.begin(), told.end());
+				const std::vector<told_rollout> updates = entry.table.get_told(update.live < HUBS ? entry.table.get_reports(now) : rollout_reports(), now);
+				update.updates.insert(update.updates.end(), updates.begin(), updates.end());
 				update.live++;
 			}
 		}
@@ -319,7 +319,7 @@
 				continue;
 			}
 			if (!entry.is_cut_off) {
-				entry.table.take_told(received.told, now);
+				entry.table.take_told(received.updates, now);
 			}
 			entry.table.consider(
 					[&received, &entry](const rollout &p_rollout) {
--- a/tests/servers/rollout/rollout_test.cpp
+++ b/tests/servers/rollout/rollout_test.cpp
@@ -175,10 +175,10 @@
 TEST(rollout, the_first_final_state_in_the_store_stands) {
 	rollout entry(rollout_bounds(), rollout_order{ "s", "2", ORDER_TIME, log_position{ 0, 5 }, false }, instant(seconds(1)));
 	EXPECT_TRUE(entry.take_status(rollout_status{ "s", "2", rollout_state::COMPLETED, log_position{ 0, 5 }, {} }, instant(seconds(1))));
-	told_rollout told = entry.get_told(instant(seconds(2)));
-	told.state = rollout_state::ROLLED_BACK;
-	told.is_written = false;
-	EXPECT_FALSE(entry.take_told(told, instant(seconds(2))));
+	told_rollout update = entry.get_told(instant(seconds(2)));
+	update.state = rollout_state::ROLLED_BACK;
+	update.is_written = false;
+	EXPECT_FALSE(entry.take_told(update, instant(seconds(2))));
 	EXPECT_EQ(entry.get_state(), rollout_state::COMPLETED);
 	EXPECT_FALSE(entry.get_unwritten());
 }
@@ -187,10 +187,10 @@
 TEST(rollout, a_report_is_of_the_window_that_what_is_told_beside_it_has_closed) {
 	const instant start(seconds(100));
 	rollout entry(rollout_bounds(), rollout_order{ "s", "2", ORDER_TIME, log_position{ 0, 5 }, false }, start);
-	told_rollout told = entry.get_told(start);
-	told.report.order = told.order.at;
-	told.report.answers = version_windows(3, version_tally(), version_tally());
-	entry.take_told(told, start);
+	told_rollout update = entry.get_told(start);
+	update.report.order = update.order.at;
+	update.report.answers = version_windows(3, version_tally(), version_tally());
+	entry.take_told(update, start);
 	EXPECT_EQ(entry.get_report(start).answers.get_index(), 3U);
 }
 
