--- a/servers/limits/fair_queue.h
+++ b/servers/limits/fair_queue.h
@@ -41,7 +41,7 @@
  * Start-time fair queueing on two levels: between priority classes by fixed weights, so that a low class is slow but
  * never starved, and between the customers of a class by their weights. A customer's requests are served by earliest
  * start_by. If the queue is full, a newly arrived request replaces the request with the latest start_by of the customer
- * that has the largest_size queued requests relative to its weight; if that is its own customer, the new request is dropped.
+ * that has the most queued requests relative to its weight; if that is its own customer, the new request is dropped.
  */
 class fair_queue {
 	struct customer_queue {
