--- a/servers/once/claim_book.cpp
+++ b/servers/once/claim_book.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: claim_book.cpp
- * Claims of callers' keys on the log: the lowest offset wins.
+ * Claims of callers' idempotency keys on the log; the claim at the lowest offset wins.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -20,9 +20,9 @@
 
 using json = nlohmann::json;
 
-constexpr std::size_t LARGEST_BATCH = 256 * 1024;
-/** Keys may be dated this far ahead, milliseconds; nodes' clocks may differ as much. */
-constexpr unix_milliseconds LARGEST_CLOCK_SKEW = 30'000;
+constexpr std::size_t MAX_BATCH_BYTES = 256 * 1024;
+/** A key's creation time may be this far in the future, in milliseconds; clocks of nodes may differ by as much. */
+constexpr unix_milliseconds MAX_CLOCK_SKEW_MS = 30'000;
 
 once_answer refuse(reason p_reason, verdict p_verdict = verdict::NOT_RUN) {
 	once_answer answer;
@@ -41,7 +41,7 @@
 		_vm(std::move(p_vm)), _incarnation(p_incarnation), _key_age(p_key_age), _capacity(p_capacity) {
 }
 
-std::string claim_book::_make_place(const std::string &p_customer, const std::string &p_key_hash) {
+std::string claim_book::_make_key_id(const std::string &p_customer, const std::string &p_key_hash) {
 	return p_customer + "\n" + p_key_hash;
 }
 
@@ -51,9 +51,9 @@
 		return refuse(reason::KEY_MALFORMED);
 	}
 	const std::string key_hash = sha256_hex(p_key);
-	const std::string place = _make_place(p_customer, key_hash);
+	const std::string key_id = _make_key_id(p_customer, key_hash);
 	once_answer answer;
-	const auto known = _known.find(place);
+	const auto known = _known.find(key_id);
 	if (known != _known.end()) {
 		const known_claim &winner = known->second;
 		const bool is_own = winner.vm == _vm && winner.incarnation == _incarnation;
@@ -69,39 +69,41 @@
 			return answer;
 		}
 		const auto own = _own.find(winner.claim);
-		if (own != _own.end() && own->second.now == state::RUNNING) {
+		if (own != _own.end() && own->second.current == state::RUNNING) {
 			answer.step = once_step::WAIT;
 			return answer;
 		}
 		if (parsed->made_at <= _complete_from) {
-			// An earlier claim of the key may have been lost unread, so being first among those read proves nothing.
+			// Records were removed from the log before this node read them, and an earlier claim of the key may be among
+			// them. Being the first of the claims that were read proves nothing.
 			return refuse(reason::CLAIM_UNAVAILABLE, verdict::MAY_HAVE_RUN);
 		}
-		// The key is this node's and its claim was given up before it ran, so this submission may run it.
-		_own[winner.claim] = own_claim{ place, claim_entry{ p_customer, key_hash, parsed->made_at, winner.claim }, state::RUNNING, true };
+		// This node owns the key, and the winning claim did not run: it was abandoned, or its request ended without
+		// running. This submission may run it.
+		_own[winner.claim] = own_claim{ key_id, claim_entry{ p_customer, key_hash, parsed->made_at, winner.claim }, state::RUNNING, true };
 		r_claim = winner.claim;
 		answer.step = once_step::RUN;
 		return answer;
 	}
-	if (_claiming.contains(place)) {
+	if (_claiming.contains(key_id)) {
 		answer.step = once_step::WAIT;
 		return answer;
 	}
 	const unix_milliseconds age = to_unix(_key_age);
 	if (parsed->made_at < p_wall - age) {
-		// Its claim may have been made and be forgotten.
+		// The key may have been claimed earlier and its claim removed since.
 		return refuse(reason::KEY_EXPIRED, verdict::MAY_HAVE_RUN);
 	}
-	if (parsed->made_at > p_wall + LARGEST_CLOCK_SKEW) {
+	if (parsed->made_at > p_wall + MAX_CLOCK_SKEW_MS) {
 		return refuse(reason::KEY_MALFORMED);
 	}
-	// Until the stream was read as far back as this key may have lived, a competitor could be missed.
-	if (!_has_read || parsed->made_at <= _complete_from || _known.size() + _own.size() >= _capacity) {
+	// Until the stream has been read back to the creation time of the key, a competing claim could be missed.
+	if (!_has_read_to_end || parsed->made_at <= _complete_from || _known.size() + _own.size() >= _capacity) {
 		return refuse(reason::CLAIM_UNAVAILABLE);
 	}
 	r_claim = _next_claim++;
-	_own[r_claim] = own_claim{ place, claim_entry{ p_customer, key_hash, parsed->made_at, r_claim }, state::CLAIMING, false };
-	_claiming[place] = r_claim;
+	_own[r_claim] = own_claim{ key_id, claim_entry{ p_customer, key_hash, parsed->made_at, r_claim }, state::CLAIMING, false };
+	_claiming[key_id] = r_claim;
 	_unsent.push_back(r_claim);
 	answer.step = once_step::CLAIM;
 	return answer;
@@ -133,24 +135,24 @@
 	}
 	for (const claim_entry &entry : p_batch.claims) {
 		const auto own = _own.find(entry.claim);
-		if (own == _own.end() || own->second.now != state::CLAIMING) {
+		if (own == _own.end() || own->second.current != state::CLAIMING) {
 			continue;
 		}
 		settled.push_back(settled_claim{ entry.claim, refuse(reason::CLAIM_UNAVAILABLE) });
-		_claiming.erase(own->second.place);
+		_claiming.erase(own->second.key_id);
 		_own.erase(own);
 	}
 	return settled;
 }
 
-void claim_book::_take_claim(const claim_batch &p_batch, const claim_entry &p_entry, std::vector<settled_claim> &r_settled) {
-	const std::string place = _make_place(p_entry.customer, p_entry.key_hash);
-	const auto [winner, is_first] = _known.try_emplace(place, known_claim{ p_batch.vm, p_batch.incarnation, p_entry.claim, p_entry.made_at, false, {} });
-	const auto claiming = _claiming.find(place);
+void claim_book::_apply_claim(const claim_batch &p_batch, const claim_entry &p_entry, std::vector<settled_claim> &r_settled) {
+	const std::string key_id = _make_key_id(p_entry.customer, p_entry.key_hash);
+	const auto [winner, is_first] = _known.try_emplace(key_id, known_claim{ p_batch.vm, p_batch.incarnation, p_entry.claim, p_entry.made_at, false, {} });
+	const auto claiming = _claiming.find(key_id);
 	if (claiming == _claiming.end()) {
 		return;
 	}
-	// A claim of this node waits here: the place now has a winner, so its fate is known.
+	// A claim of this node is open for this key; the key now has a winner, so the claim is settled.
 	const std::uint64_t claim = claiming->second;
 	const known_claim &known = winner->second;
 	_claiming.erase(claiming);
@@ -158,9 +160,9 @@
 	result.claim = claim;
 	const bool is_own = known.vm == _vm && known.incarnation == _incarnation;
 	if (is_own) {
-		// An earlier claim of this node that was given up may have won; it stands for this one, as it never ran.
+		// The winner may be an earlier, abandoned claim of this node. It never ran, so it counts as the current claim.
 		winner->second.claim = claim;
-		_own[claim].now = state::RUNNING;
+		_own[claim].current = state::RUNNING;
 		result.answer.step = once_step::RUN;
 	} else {
 		_own.erase(claim);
@@ -172,7 +174,7 @@
 }
 
 void claim_book::_refuse_claiming(std::vector<settled_claim> &r_settled) {
-	for (const auto &[place, claim] : _claiming) {
+	for (const auto &[key_id, claim] : _claiming) {
 		r_settled.push_back(settled_claim{ claim, refuse(reason::CLAIM_UNAVAILABLE, verdict::MAY_HAVE_RUN) });
 		_own.erase(claim);
 	}
@@ -182,9 +184,10 @@
 std::vector<settled_claim> claim_book::take_read(std::uint64_t p_earliest, const std::vector<std::optional<claim_batch>> &p_batches, std::uint64_t p_next, bool p_at_end, unix_milliseconds p_wall) {
 	std::vector<settled_claim> settled;
 	if (p_earliest > _position) {
-		// Records were lost unread: keys that may have been claimed in them are refused until they are too old.
-		// The time of the first record left bounds nothing: a delayed append may be older than what was lost before it.
-		_complete_from = p_wall + LARGEST_CLOCK_SKEW;
+		// The log removed records before this node read them. Keys that may have been claimed in them are refused until
+		// they are too old. The time of the first remaining record is no bound: a delayed append may carry older keys
+		// than the records removed before it.
+		_complete_from = p_wall + MAX_CLOCK_SKEW_MS;
 		_refuse_claiming(settled);
 	}
 	for (const std::optional<claim_batch> &batch : p_batches) {
@@ -192,11 +195,11 @@
 			continue;
 		}
 		for (const claim_entry &entry : batch->claims) {
-			_take_claim(*batch, entry, settled);
+			_apply_claim(*batch, entry, settled);
 		}
 	}
 	_position = std::max(_position, p_next);
-	_has_read = _has_read || p_at_end;
+	_has_read_to_end = _has_read_to_end || p_at_end;
 	return settled;
 }
 
@@ -205,7 +208,7 @@
 	if (own == _own.end()) {
 		return;
 	}
-	_claiming.erase(own->second.place);
+	_claiming.erase(own->second.key_id);
 	_own.erase(own);
 }
 
@@ -214,7 +217,7 @@
 	if (own == _own.end()) {
 		return;
 	}
-	const auto known = _known.find(own->second.place);
+	const auto known = _known.find(own->second.key_id);
 	if (known != _known.end() && p_may_have_run) {
 		known->second.done = true;
 		known->second.outcome = std::move(p_outcome);
@@ -223,7 +226,7 @@
 }
 
 void claim_book::expire(unix_milliseconds p_wall) {
-	// Twice the age: a key made in the future by a caller's clock still meets its first claim.
+	// Twice the maximum age, so that a key that a caller's clock dated into the future still finds its first claim.
 	const unix_milliseconds oldest = p_wall - 2 * to_unix(_key_age);
 	std::erase_if(_known, [oldest](const auto &p_entry) { return p_entry.second.made_at < oldest; });
 }
@@ -237,7 +240,7 @@
 }
 
 std::optional<claim_batch> decode_claim_batch(std::string_view p_bytes) {
-	if (p_bytes.size() > LARGEST_BATCH) {
+	if (p_bytes.size() > MAX_BATCH_BYTES) {
 		return std::nullopt;
 	}
 	const json record = json::parse(p_bytes, nullptr, false);
--- a/servers/once/claim_book.h
+++ b/servers/once/claim_book.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: claim_book.h
- * Claims of callers' keys on the log: the lowest offset wins.
+ * Claims of callers' idempotency keys on the log; the claim at the lowest offset wins.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -22,12 +22,12 @@
 
 namespace calicoscale {
 
-/** One claim as it stands on the log. */
+/** One claim as it is stored on the log. */
 struct claim_entry {
 	std::string customer;
-	std::string key_hash; ///< The key itself stays off the log.
-	unix_milliseconds made_at = 0;
-	std::uint64_t claim = 0; ///< Unique within the owner's incarnation.
+	std::string key_hash; ///< SHA-256 of the key; the key itself is not written to the log.
+	unix_milliseconds made_at = 0; ///< Creation time that the key states.
+	std::uint64_t claim = 0; ///< Claim id, unique within the owner's incarnation.
 };
 
 /** One record of the claims stream: the claims of one node since its last append. */
@@ -37,17 +37,18 @@
 	std::vector<claim_entry> claims;
 };
 
-/** A claim whose fate became known. */
+/** A claim of this node whose result became known. */
 struct settled_claim {
 	std::uint64_t claim = 0;
 	once_answer answer; ///< RUN, PASS_ON or REFUSE.
 };
 
 /**
- * Every node folds the whole claims stream, as the first claim of a key may be any node's. A key may be claimed only
- * while young; claims are kept for twice that age, so the fold always knows a competitor. A claim whose append has no
- * answer waits until it is read back or given up; a claim given up never runs, even if it appears later. A node that
- * has not read the stream for as far back as keys live refuses.
+ * Decides which node runs a request that carries a caller's idempotency key. Every node reads the whole claims
+ * stream, because the first claim of a key may come from any node. A key can be claimed only up to a maximum age, and
+ * claims are kept for twice that age, so a competing claim is always known. A claim whose append has an unknown outcome
+ * stays open until it is read back or abandoned; an abandoned claim never runs, even if it appears on the log later.
+ * A node that has not read the stream back to the maximum age of keys refuses claims.
  */
 class claim_book {
 	enum class state {
@@ -57,9 +58,9 @@
 	};
 
 	struct own_claim {
-		std::string place;
+		std::string key_id; ///< See _make_key_id().
 		claim_entry entry;
-		state now = state::CLAIMING;
+		state current = state::CLAIMING;
 		bool sent = false;
 	};
 
@@ -77,62 +78,69 @@
 	duration _key_age;
 	std::size_t _capacity;
 	std::uint64_t _next_claim = 1;
-	std::map<std::uint64_t, own_claim> _own; ///< Claims that are not done.
-	std::map<std::string, std::uint64_t> _claiming; ///< Place to own claim, while CLAIMING.
-	std::map<std::string, known_claim> _known; ///< Winner of each place.
-	std::vector<std::uint64_t> _unsent;
-	std::uint64_t _position = 0;
-	unix_milliseconds _complete_from = -1; ///< All claims of keys made after this are known.
-	bool _has_read = false;
-
-	static std::string _make_place(const std::string &p_customer, const std::string &p_key_hash);
+	std::map<std::uint64_t, own_claim> _own; ///< Own claims that are not done, by claim id.
+	std::map<std::string, std::uint64_t> _claiming; ///< Key id to the own claim that is CLAIMING.
+	std::map<std::string, known_claim> _known; ///< Winning claim by key id.
+	std::vector<std::uint64_t> _unsent; ///< Claims that take_batch() has not returned yet.
+	std::uint64_t _position = 0; ///< Next offset of the stream to read.
+	unix_milliseconds _complete_from = -1; ///< The claims of all keys created after this time are known.
+	bool _has_read_to_end = false; ///< Whether the stream was read up to its end at least once.
+
+	/** Key of the maps: the customer and the hash of the idempotency key. */
+	static std::string _make_key_id(const std::string &p_customer, const std::string &p_key_hash);
 	void _refuse_claiming(std::vector<settled_claim> &r_settled);
-	void _take_claim(const claim_batch &p_batch, const claim_entry &p_entry, std::vector<settled_claim> &r_settled);
+	void _apply_claim(const claim_batch &p_batch, const claim_entry &p_entry, std::vector<settled_claim> &r_settled);
 
 public:
-	/** @param p_key_age oldest key that is claimed. @param p_capacity most keys known at once. */
+	/** @param p_key_age maximum age of a key that is claimed. @param p_capacity maximum number of keys known at once. */
 	claim_book(std::string p_vm, std::uint64_t p_incarnation, duration p_key_age, std::size_t p_capacity);
 
 	/**
-	 * A customer submits a request under a key. For CLAIM, r_claim names the new claim; its fate comes from take_read
-	 * or is ended by give_up. A RUN answer has to be ended by on_done.
+	 * Decides on a request that a customer submits under a key. For CLAIM, r_claim is set to the id of the new claim;
+	 * take_read() returns its result, unless give_up() abandons it. For RUN, r_claim is set too, and the caller must
+	 * call on_done() with it.
 	 */
 	once_answer submit(const std::string &p_customer, const std::string &p_key, unix_milliseconds p_wall, std::uint64_t &r_claim);
 
-	/** Claims not yet on their way; they now count as sent. */
+	/** Returns the claims that are still to be appended and marks them as sent; empty if there are none. */
 	std::optional<claim_batch> take_batch();
 
 	/**
-	 * The append of a batch ended. Only NOT_DONE takes claims back, and they are refused; UNKNOWN waits for the read.
+	 * Records the result of a batch's append. After NOT_DONE the claims are withdrawn and returned as refused. After
+	 * UNKNOWN they stay open until the stream is read.
 	 */
 	std::vector<settled_claim> on_append_ended(const claim_batch &p_batch, append_result p_result);
 
 	/**
-	 * Takes in one read of the stream.
-	 * @param p_earliest first offset that the log has. @param p_batches from get_position() on; empty for a malformed record.
-	 * @param p_next offset after the last one read. @param p_at_end whether nothing more is there now.
+	 * Applies one read of the stream and returns the claims of this node that it settles.
+	 * @param p_earliest first offset that the log still has. @param p_batches records from get_position() on, empty for a
+	 * malformed one.
+	 * @param p_next offset after the last one read. @param p_at_end whether the read reached the end of the stream.
 	 */
 	std::vector<settled_claim> take_read(std::uint64_t p_earliest, const std::vector<std::optional<claim_batch>> &p_batches, std::uint64_t p_next, bool p_at_end, unix_milliseconds p_wall);
 
-	/** The submission gave up waiting for its claim; the claim never runs. */
+	/** Abandons a claim because its submission stopped waiting; the claim never runs. */
 	void give_up(std::uint64_t p_claim);
 
-	/** The claim a submission was told to run ended. A request that did not run frees the key for this node's next submission. */
+	/**
+	 * Records the outcome of a claim that submit() or take_read() answered with RUN. If the request did not run, the
+	 * next submission of the key at this node may run it.
+	 */
 	void on_done(std::uint64_t p_claim, bool p_may_have_run, kept_outcome p_outcome);
 
-	/** Forgets claims that no key in use can meet. */
+	/** Removes claims whose keys are too old to be submitted again. */
 	void expire(unix_milliseconds p_wall);
 
-	/** Whether some claim waits for its fate. */
+	/** Whether any claim is still open. */
 	bool is_waiting() const { return !_claiming.empty(); }
 
 	std::uint64_t get_position() const { return _position; }
 	std::size_t get_known_count() const { return _known.size(); }
 };
 
-/** Form of a batch on the log. */
+/** Encodes a batch as a record of the log. */
 std::string encode(const claim_batch &p_batch);
-/** Reads a batch; empty when malformed. */
+/** Decodes a batch; empty when malformed or too large. */
 std::optional<claim_batch> decode_claim_batch(std::string_view p_bytes);
 
 } // namespace calicoscale
--- a/servers/once/idempotency_key.cpp
+++ b/servers/once/idempotency_key.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: idempotency_key.cpp
- * The two forms of the key that marks a request as one and the same.
+ * The two forms of an idempotency key: a caller's own key and a ticket issued by a node.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -17,8 +17,8 @@
 
 namespace {
 
-constexpr std::string_view TICKET_MARK = "t";
-constexpr std::size_t TICKET_PARTS = 6;
+constexpr std::string_view TICKET_PREFIX = "t";
+constexpr std::size_t TICKET_PART_COUNT = 6;
 constexpr std::size_t CODE_LENGTH = 32;
 
 std::optional<std::int64_t> parse_number(std::string_view p_text) {
@@ -67,7 +67,7 @@
 		return std::nullopt;
 	}
 	const std::vector<std::string_view> parts = split(p_text, '/');
-	if (parts.size() != TICKET_PARTS || parts[0] != TICKET_MARK || parts[5].size() != CODE_LENGTH) {
+	if (parts.size() != TICKET_PART_COUNT || parts[0] != TICKET_PREFIX || parts[5].size() != CODE_LENGTH) {
 		return std::nullopt;
 	}
 	const std::optional<std::uint64_t> incarnation = parse_hex(parts[2]);
@@ -80,7 +80,7 @@
 }
 
 std::string to_string(const ticket_key &p_ticket) {
-	std::string text(TICKET_MARK);
+	std::string text(TICKET_PREFIX);
 	text += "/" + p_ticket.vm;
 	text += "/" + to_hex(p_ticket.incarnation);
 	text += "/" + std::to_string(p_ticket.sequence);
--- a/servers/once/idempotency_key.h
+++ b/servers/once/idempotency_key.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: idempotency_key.h
- * The two forms of the key that marks a request as one and the same.
+ * The two forms of an idempotency key: a caller's own key and a ticket issued by a node.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,30 +18,29 @@
 
 namespace calicoscale {
 
-/** Longest key in bytes. */
+/** Maximum length of a caller's key. */
 constexpr std::size_t LONGEST_KEY = 128;
 
-/** A caller's own key, "<unix milliseconds>-<anything>"; it is claimed on the log. */
+/** A caller's own key, "<creation time in unix milliseconds>-<any text>"; it is claimed on the log. */
 struct claimed_key {
 	unix_milliseconds made_at = 0;
 };
 
-/** A ticket that a node issued, "t/<vm>/<incarnation>/<sequence>/<expiry>/<code>"; only its issuer runs it. */
+/** A ticket that a node issued, "t/<vm>/<incarnation>/<sequence>/<expiry>/<code>"; only the node that issued it runs its request. */
 struct ticket_key {
 	std::string vm;
 	std::uint64_t incarnation = 0;
 	std::uint64_t sequence = 0;
 	unix_milliseconds expires_at = 0;
-	std::string code;
+	std::string code; ///< Authentication code; see the class that issues tickets.
 };
 
-/** Reads a caller's key; empty when it has not that form or is too long. */
+/** Parses a caller's key; empty when it is malformed or too long. */
 std::optional<claimed_key> parse_claimed_key(std::string_view p_text);
 
-/** Reads a ticket; empty when it has not that form or is too long. */
+/** Parses a ticket; empty when it is malformed or too long. Doesn't verify its code. */
 std::optional<ticket_key> parse_ticket(std::string_view p_text);
 
-/** Writes a ticket. */
 std::string to_string(const ticket_key &p_ticket);
 
 } // namespace calicoscale
--- a/servers/once/once_answer.h
+++ b/servers/once/once_answer.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: once_answer.h
- * What the at-most-once books answer, and the outcome they keep.
+ * Answers of the at-most-once registries, and the outcome that they store.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -16,20 +16,20 @@
 
 namespace calicoscale {
 
-/** The outcome of a request that ran under a key, kept for a caller that submits it again. */
+/** Outcome of a request that ran under a key, stored for a caller that submits the request again. */
 struct kept_outcome {
 	int http_status = 0;
 	std::string body;
 };
 
-/** What is to be done with a submission. */
+/** What the caller does with a submission. */
 enum class once_step {
 	RUN, ///< This submission alone may run the request.
-	WAIT, ///< Another submission runs it here; its outcome will serve both.
-	REPLAY, ///< The outcome is known.
-	PASS_ON, ///< Another node owns the key; only it may decide.
+	WAIT, ///< Another submission runs it, or claims its key, at this node; its outcome answers both.
+	REPLAY, ///< The request has run; its stored outcome is the answer.
+	PASS_ON, ///< Another node owns the key; the request is forwarded to it.
 	CLAIM, ///< The key has to be claimed on the log first.
-	REFUSE, ///< Not now or not ever; see the reason.
+	REFUSE, ///< The request isn't run; the refusal says why.
 };
 
 /** Answer to a submission. */
--- a/servers/once/ticket_book.cpp
+++ b/servers/once/ticket_book.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: ticket_book.cpp
- * Tickets this node issued, and what became of them.
+ * Tickets that this node issued, and the outcomes of their requests.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -51,7 +51,7 @@
 		return answer;
 	}
 	if (p_ticket.incarnation != _incarnation) {
-		// What the earlier incarnation did with it is lost, so nobody can say that it did not run.
+		// An earlier incarnation issued the ticket, and its outcomes are lost, so the request may have run.
 		return refuse(verdict::MAY_HAVE_RUN, reason::ISSUER_GONE);
 	}
 	if (!equal_in_constant_time(p_ticket.code, _make_code(p_customer, p_ticket))) {
@@ -59,12 +59,12 @@
 	}
 	const auto found = _used.find(p_ticket.sequence);
 	if (found != _used.end()) {
-		answer.step = found->second.now == state::RUNNING ? once_step::WAIT : once_step::REPLAY;
+		answer.step = found->second.current == state::RUNNING ? once_step::WAIT : once_step::REPLAY;
 		answer.kept = found->second.outcome;
 		return answer;
 	}
 	if (p_wall >= p_ticket.expires_at) {
-		// It may have run and been forgotten since.
+		// The request may have run and its outcome been removed since.
 		return refuse(verdict::MAY_HAVE_RUN, reason::KEY_EXPIRED);
 	}
 	if (_used.size() >= _capacity) {
@@ -80,7 +80,7 @@
 	if (found == _used.end()) {
 		return;
 	}
-	found->second.now = state::DONE;
+	found->second.current = state::DONE;
 	found->second.outcome = std::move(p_outcome);
 }
 
@@ -90,7 +90,7 @@
 
 void ticket_book::expire(unix_milliseconds p_wall) {
 	std::erase_if(_used, [p_wall](const auto &p_entry) {
-		return p_entry.second.now == state::DONE && p_wall >= p_entry.second.expires_at;
+		return p_entry.second.current == state::DONE && p_wall >= p_entry.second.expires_at;
 	});
 }
 
--- a/tests/servers/once_test.cpp
+++ b/tests/servers/once_test.cpp
@@ -28,7 +28,7 @@
 	struct node {
 		std::unique_ptr<claim_book> book;
 		std::string vm;
-		std::map<std::uint64_t, std::string> waiting; ///< Claims whose fate is open, with their key.
+		std::map<std::uint64_t, std::string> waiting; ///< Open claims, with their key.
 		std::map<std::uint64_t, std::string> running;
 	};
 
@@ -93,11 +93,11 @@
 				_records.push_back(encode(*batch));
 				_settle(r_node, r_node.book->on_append_ended(*batch, append_result::DONE));
 				return;
-			case 1: // It took effect, and its answer was lost.
+			case 1: // The append takes effect, and its answer is lost.
 				_records.push_back(encode(*batch));
 				_settle(r_node, r_node.book->on_append_ended(*batch, append_result::UNKNOWN));
 				return;
-			case 2: // Its answer was lost, and it takes effect later or never.
+			case 2: // The answer is lost, and the append takes effect later or never.
 				_delayed.push_back(encode(*batch));
 				_settle(r_node, r_node.book->on_append_ended(*batch, append_result::UNKNOWN));
 				return;
@@ -351,7 +351,7 @@
 	std::uint64_t claim = 0;
 	books.left.submit("c", KEY, START, claim);
 	const claim_batch batch = *books.left.take_batch();
-	// Another node's claim stood at offset 0 and is forgotten; this one's own is the first that is left.
+	// Another node's claim was at offset 0, which the log removed; this node's own claim is the first one left.
 	const std::vector<settled_claim> settled = books.left.take_read(1, { batch }, 2, true, START);
 	ASSERT_EQ(settled.size(), 1U);
 	EXPECT_EQ(settled[0].answer.refusal, (outcome{ verdict::MAY_HAVE_RUN, reason::CLAIM_UNAVAILABLE }));
