--- a/servers/configuration/change_publisher.cpp
+++ b/servers/configuration/change_publisher.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: change_publisher.cpp
- * Publishing one change: append until its fate is read back.
+ * Publishes one configuration change: appends it until its result is read back from the log.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr duration APPEND_AGAIN_AFTER = std::chrono::milliseconds(500);
+constexpr duration APPEND_RETRY_DELAY = std::chrono::milliseconds(500);
 
 constexpr std::array<enum_name<publish_result>, 6> RESULT_NAMES{ {
 		{ publish_result::PENDING, "pending" },
@@ -42,11 +42,11 @@
 		return publish_step::FINISHED;
 	}
 	if (p_now >= _give_up_at) {
-		const bool is_open = _may_be_on_log || _is_appending;
-		_result = is_open ? publish_result::UNKNOWN : publish_result::NOT_PUBLISHED;
+		const bool may_take_effect = _may_be_on_log || _is_appending;
+		_result = may_take_effect ? publish_result::UNKNOWN : publish_result::NOT_PUBLISHED;
 		return publish_step::FINISHED;
 	}
-	if (!_is_appending && p_now >= _append_again_at) {
+	if (!_is_appending && p_now >= _next_append_at) {
 		return publish_step::APPEND;
 	}
 	return publish_step::READ;
@@ -61,8 +61,8 @@
 	if (p_result != append_result::NOT_DONE) {
 		_may_be_on_log = true;
 	}
-	// A done append needs no repetition; reading it back is all that is left.
-	_append_again_at = p_result == append_result::DONE ? _give_up_at : p_now + APPEND_AGAIN_AFTER;
+	// A successful append isn't repeated; the change only has to be read back.
+	_next_append_at = p_result == append_result::DONE ? _give_up_at : p_now + APPEND_RETRY_DELAY;
 }
 
 void change_publisher::on_fold_moved(const configuration_fold &p_fold) {
@@ -73,7 +73,7 @@
 	if (entry == nullptr) {
 		return;
 	}
-	_fate = *entry;
+	_entry = *entry;
 	switch (entry->status) {
 		case change_status::ACCEPTED:
 			_result = publish_result::ACCEPTED;
--- a/servers/configuration/change_publisher.h
+++ b/servers/configuration/change_publisher.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: change_publisher.h
- * Publishing one change: append until its fate is read back.
+ * Publishes one configuration change: appends it until its result is read back from the log.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -13,65 +13,65 @@
 
 namespace calicoscale {
 
-/** What an append to the log came to. */
+/** Result of an append to the log. */
 enum class append_result {
 	DONE,
-	NOT_DONE, ///< The log refused, or was never reached.
-	UNKNOWN, ///< It may have taken effect; its answer was lost.
+	NOT_DONE, ///< The log refused the record or was never reached.
+	UNKNOWN, ///< The answer was lost; the append may have taken effect.
 };
 
-/** What to do next about a change. */
+/** Next step of a publication. */
 enum class publish_step {
 	APPEND,
 	READ,
 	FINISHED,
 };
 
-/** How a publication ended. */
+/** Result of a publication. */
 enum class publish_result {
 	PENDING,
 	ACCEPTED,
 	OVERTAKEN,
 	REJECTED,
-	NOT_PUBLISHED, ///< The log was never reached; nothing changed.
-	UNKNOWN, ///< Time ran out while the append may still take effect.
+	NOT_PUBLISHED, ///< Every append failed, so the change isn't on the log.
+	UNKNOWN, ///< The time limit passed while the change may still take effect.
 };
 
 /** Name of a result, e.g. "not_published". */
 std::string_view get_name(publish_result p_result);
 
 /**
- * Decides the steps of publishing one change. A lost answer is settled by reading; the append is repeated only under
- * the same change id, and as versions never recur at most one copy can be accepted.
+ * Decides the steps of publishing one change. After a lost answer, reading the log shows whether the change was
+ * appended. The append is repeated under the same change id only. No version number occurs twice, so at most one copy of
+ * the change has the current version as its base and is accepted.
  */
 class change_publisher {
 	std::string _change_id;
 	instant _give_up_at;
 	bool _may_be_on_log = false;
 	bool _is_appending = false;
-	instant _append_again_at{};
+	instant _next_append_at{};
 	publish_result _result = publish_result::PENDING;
-	history_entry _fate;
+	history_entry _entry;
 
 public:
 	change_publisher(std::string p_change_id, instant p_give_up_at);
 
-	/** What to do now. */
+	/** Returns the next step; ends the publication once the time limit has passed. */
 	publish_step get_step(instant p_now);
 
-	/** The append was handed to the log. */
+	/** Records that an append was sent to the log. */
 	void on_append_started();
 
-	/** An append ended. */
 	void on_append_ended(append_result p_result, instant p_now);
 
-	/** The fold has moved; looks for the change. */
+	/** Looks for the change in the fold's history; called after the fold has applied records. */
 	void on_fold_moved(const configuration_fold &p_fold);
 
 	publish_result get_result() const { return _result; }
 
-	/** The history line of the change, once its fate is known. */
-	const history_entry &get_fate() const { return _fate; }
+	/** History entry of the change; set once the change was read back from the log. */
+	const history_entry &get_fate() const { return _entry; }
 
 	const std::string &get_change_id() const { return _change_id; }
 };
--- a/servers/configuration/configuration.cpp
+++ b/servers/configuration/configuration.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: configuration.cpp
- * The configuration in force, as typed data.
+ * Typed data of a configuration.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
--- a/servers/configuration/configuration.h
+++ b/servers/configuration/configuration.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: configuration.h
- * The configuration in force, as typed data.
+ * Typed data of a configuration.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -20,7 +20,7 @@
 
 namespace calicoscale {
 
-/** What a stage does; it decides the endpoint protocol and how its cost grows. */
+/** Kind of work of a stage; determines the protocol of its endpoints and how its cost scales. */
 enum class stage_kind {
 	ENCODE,
 	RETRIEVE,
@@ -31,42 +31,37 @@
 
 /** Name as written in configurations, e.g. "generate". */
 std::string_view get_name(stage_kind p_kind);
-/** Looks a kind up by name. */
 std::optional<stage_kind> find_stage_kind(std::string_view p_name);
 
-/** Priority class of a request. */
 enum class priority_class {
 	HIGH,
 	NORMAL,
 	LOW,
 };
 
-/** Number of priority classes. */
 constexpr std::size_t PRIORITY_COUNT = 3;
 
 /** Name as written in configurations, e.g. "high". */
 std::string_view get_name(priority_class p_priority);
-/** Looks a priority up by name. */
 std::optional<priority_class> find_priority(std::string_view p_name);
 
-/** Requests a customer may send, over all nodes together. */
+/** Limits on the requests of a customer, over all nodes together. */
 struct customer_limits {
 	double requests_per_second = 0.0;
-	double burst_seconds = 1.0; ///< Seconds of the rate that may come at once.
+	double burst_seconds = 1.0; ///< Size of a permitted burst, in seconds of the rate.
 	int concurrency = 0;
 	bool operator==(const customer_limits &p_other) const = default;
 };
 
-/** One customer. */
 struct customer_settings {
 	std::string name;
-	std::string key_sha256; ///< 64 hexadecimal digits; the key itself is nowhere.
+	std::string key_sha256; ///< 64 hexadecimal digits; the key itself isn't stored.
 	customer_limits limits;
-	double weight = 1.0; ///< Share in fair queues.
+	double weight = 1.0; ///< Weight in fair queues.
 	label_set labels;
 };
 
-/** One pool of endpoints. */
+/** A pool of endpoints. */
 struct pool_settings {
 	std::string name;
 	stage_kind kind = stage_kind::CALL;
@@ -75,16 +70,15 @@
 	label_set labels;
 };
 
-/** One stage of a pipeline. */
+/** A stage of a pipeline. */
 struct stage_settings {
 	std::string name;
 	std::string pool;
 	bool repeatable = true;
 	bool hedgeable = false;
-	int max_tokens = 0; ///< GENERATE only: most tokens of an answer.
+	int max_tokens = 0; ///< GENERATE only: maximum number of tokens of an answer.
 };
 
-/** One pipeline. */
 struct pipeline_settings {
 	std::string name;
 	label_set labels;
@@ -92,44 +86,44 @@
 	duration default_deadline = std::chrono::seconds(4);
 	std::vector<stage_settings> stages;
 
-	/** Whether some stage may run at most once. */
+	/** Whether any stage must not run more than once. */
 	bool has_unrepeatable_stage() const;
 };
 
-/** What a rule steers for the requests that its selector matches. */
+/** Changes that a rule makes to the handling of the requests that its selector matches. */
 struct rule_effect {
-	std::optional<selector> endpoints; ///< Endpoints that may serve, by their labels (model version, zone, ...).
-	std::optional<std::string> from_pool; ///< Stages of this pool ...
-	std::optional<std::string> to_pool; ///< ... go to that pool of the same kind.
+	std::optional<selector> endpoints; ///< Permitted endpoints, by their labels (model version, zone, ...).
+	std::optional<std::string> from_pool; ///< Pool whose stages are redirected to to_pool.
+	std::optional<std::string> to_pool; ///< Pool of the same kind that receives the stages of from_pool.
 	std::optional<priority_class> priority;
 	std::optional<customer_limits> limits;
 };
 
-/** A selector over request labels and what it steers. Rules apply in order; a later one wins. */
+/** A selector over request labels and its effect. Rules apply in order; later ones override earlier ones. */
 struct steering_rule {
 	std::string name;
 	selector requests;
-	double share = 1.0; ///< Share of the matching requests, chosen by request id.
+	double share = 1.0; ///< Share of the matching requests that the rule applies to, chosen by request id.
 	rule_effect effect;
 };
 
-/** Endpoints that get no new work while their labels match. */
+/** Rule that excludes endpoints from new work while their labels match. */
 struct drain_rule {
 	std::string name;
 	selector endpoints;
 };
 
-/** Settings of the whole system that are not about one customer or pool. */
+/** Settings that apply to the whole system, not to one customer or pool. */
 struct policy_settings {
 	std::string routing = "predicted_finish"; ///< Name of a routing policy.
-	double attainment_weight = 0.7; ///< 0 saves cost, 1 buys attainment; moves hedging and admission.
+	double attainment_weight = 0.7; ///< 0 favours low cost, 1 favours attainment; affects hedging and admission.
 	double retry_share = 0.1; ///< Retries allowed per success.
 	double hedge_share = 0.04; ///< Hedges allowed per success.
-	double max_ejected_share = 0.5; ///< Largest part of a pool that may be ejected.
-	std::vector<std::string> zones; ///< Zones that own a guaranteed share of customer limits.
+	double max_ejected_share = 0.5; ///< Maximum share of a pool that may be ejected.
+	std::vector<std::string> zones; ///< Zones that have a guaranteed share of customer limits.
 };
 
-/** A whole configuration. */
+/** A complete configuration. */
 struct configuration {
 	std::vector<customer_settings> customers;
 	std::vector<pool_settings> pools;
--- a/servers/configuration/configuration_fold.cpp
+++ b/servers/configuration/configuration_fold.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: configuration_fold.cpp
- * The fold over the log that every node computes alike.
+ * Computes the configuration from the log; every node gets the same result.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,8 +18,8 @@
 
 namespace {
 
-constexpr std::size_t LONGEST_HISTORY = 512;
-constexpr std::size_t MOST_PENDING = 4096;
+constexpr std::size_t MAX_HISTORY_ENTRIES = 512;
+constexpr std::size_t MAX_PENDING_CHANGES = 4096;
 
 constexpr std::array<enum_name<change_status>, 4> STATUS_NAMES{ {
 		{ change_status::ACCEPTED, "accepted" },
@@ -45,9 +45,9 @@
 	_window_start = p_first_offset;
 }
 
-void configuration_fold::_record(history_entry p_entry) {
+void configuration_fold::_add_history(history_entry p_entry) {
 	_history.push_back(std::move(p_entry));
-	if (_history.size() > LONGEST_HISTORY) {
+	if (_history.size() > MAX_HISTORY_ENTRIES) {
 		_history.pop_front();
 	}
 }
@@ -61,14 +61,14 @@
 	_in_force = p_state;
 }
 
-void configuration_fold::_note_copy(std::uint64_t p_version, unix_milliseconds p_written_at, unix_milliseconds p_wall) {
+void configuration_fold::_update_newest_copy(std::uint64_t p_version, unix_milliseconds p_written_at, unix_milliseconds p_wall) {
 	if (p_version != _folded.version) {
 		return;
 	}
 	_newest_copy_at = std::max(_newest_copy_at, std::min(p_written_at, p_wall));
 }
 
-void configuration_fold::_judge(std::uint64_t p_offset, const std::optional<change_record> &p_change) {
+void configuration_fold::_decide(std::uint64_t p_offset, const std::optional<change_record> &p_change) {
 	history_entry entry;
 	entry.offset = p_offset;
 	entry.version_after = _folded.version;
@@ -76,7 +76,7 @@
 		entry.status = change_status::INVALID;
 		entry.detail = "/: found a malformed or oversized record, expected a change or a checkpoint";
 		_invalid_count++;
-		_record(std::move(entry));
+		_add_history(std::move(entry));
 		return;
 	}
 	entry.change_id = p_change->change_id;
@@ -85,18 +85,19 @@
 	entry.base = p_change->base;
 	if (p_change->base != _folded.version) {
 		entry.status = change_status::OVERTAKEN;
-		_record(std::move(entry));
+		_add_history(std::move(entry));
 		return;
 	}
 	const version_state candidate{ p_offset + 1, p_change->change_id, p_change->document };
 	try {
-		// The check also runs for a version that a peer relayed before: acceptance must not depend on what is in force.
+		// The check also runs for a version that a peer relayed earlier: acceptance must not depend on the configuration in
+		// force.
 		_check(candidate.document);
 	} catch (const document_error &error) {
 		entry.status = change_status::INVALID;
 		entry.detail = error.what();
 		_invalid_count++;
-		_record(std::move(entry));
+		_add_history(std::move(entry));
 		return;
 	}
 	_folded = candidate;
@@ -104,18 +105,18 @@
 	_newest_copy_at = p_change->written_at;
 	entry.status = change_status::ACCEPTED;
 	entry.version_after = candidate.version;
-	_record(std::move(entry));
+	_add_history(std::move(entry));
 }
 
-void configuration_fold::_keep_pending(pending_change p_pending) {
-	if (_pending.size() >= MOST_PENDING) {
+void configuration_fold::_store_pending(pending_change p_pending) {
+	if (_pending.size() >= MAX_PENDING_CHANGES) {
 		_pending.clear();
 		_window_start = p_pending.offset;
 	}
 	_pending.push_back(std::move(p_pending));
 }
 
-void configuration_fold::_settle(const version_state &p_state, std::uint64_t p_position) {
+void configuration_fold::_become_certain(const version_state &p_state, std::uint64_t p_position) {
 	_put_in_force(p_state);
 	_folded = p_state;
 	_certain = true;
@@ -123,12 +124,12 @@
 	_pending.clear();
 	for (const pending_change &kept : pending) {
 		if (kept.offset >= p_position) {
-			_judge(kept.offset, kept.change);
+			_decide(kept.offset, kept.change);
 		}
 	}
 }
 
-void configuration_fold::_use_checkpoint(std::uint64_t p_offset, const checkpoint_record &p_checkpoint, unix_milliseconds p_wall) {
+void configuration_fold::_apply_checkpoint(std::uint64_t p_offset, const checkpoint_record &p_checkpoint, unix_milliseconds p_wall) {
 	const bool is_plausible = p_checkpoint.position <= p_offset && p_checkpoint.version <= p_checkpoint.position;
 	if (!is_plausible) {
 		_invalid_count++;
@@ -137,19 +138,19 @@
 	if (!_certain && p_checkpoint.position >= _window_start) {
 		const version_state state{ p_checkpoint.version, p_checkpoint.change_id, p_checkpoint.document };
 		try {
-			_settle(state, p_checkpoint.position);
+			_become_certain(state, p_checkpoint.position);
 		} catch (const document_error &) {
 			_invalid_count++;
 			return;
 		}
 	}
-	_note_copy(p_checkpoint.version, p_checkpoint.written_at, p_wall);
+	_update_newest_copy(p_checkpoint.version, p_checkpoint.written_at, p_wall);
 }
 
-void configuration_fold::_fold_bytes(const log_entry &p_entry, unix_milliseconds p_wall) {
+void configuration_fold::_apply_entry(const log_entry &p_entry, unix_milliseconds p_wall) {
 	const std::optional<configuration_record> record = decode_configuration_record(p_entry.bytes);
 	if (record && std::holds_alternative<checkpoint_record>(*record)) {
-		_use_checkpoint(p_entry.offset, std::get<checkpoint_record>(*record), p_wall);
+		_apply_checkpoint(p_entry.offset, std::get<checkpoint_record>(*record), p_wall);
 		return;
 	}
 	std::optional<change_record> change;
@@ -157,18 +158,18 @@
 		change = std::get<change_record>(*record);
 	}
 	if (_certain) {
-		_judge(p_entry.offset, change);
+		_decide(p_entry.offset, change);
 		return;
 	}
-	_keep_pending(pending_change{ p_entry.offset, std::move(change) });
+	_store_pending(pending_change{ p_entry.offset, std::move(change) });
 }
 
 bool configuration_fold::take_read(std::uint64_t p_earliest, const std::vector<log_entry> &p_entries, unix_milliseconds p_wall) {
 	const std::uint64_t version_before = _in_force.version;
-	if (!_started && p_earliest == 0 && _position == 0) {
+	if (!_has_read && p_earliest == 0 && _position == 0) {
 		_certain = true;
 	}
-	_started = true;
+	_has_read = true;
 	if (p_earliest > _position) {
 		_begin_uncertain(p_earliest);
 	}
@@ -179,7 +180,7 @@
 		if (entry.offset > _position) {
 			_begin_uncertain(entry.offset);
 		}
-		_fold_bytes(entry, p_wall);
+		_apply_entry(entry, p_wall);
 		_position = entry.offset + 1;
 	}
 	return _in_force.version > version_before;
@@ -191,9 +192,9 @@
 	try {
 		const bool may_continue = p_snapshot.certain && p_snapshot.version <= p_snapshot.position;
 		if (!_certain && may_continue && p_snapshot.position >= _window_start) {
-			_settle(state, p_snapshot.position);
+			_become_certain(state, p_snapshot.position);
 			_position = std::max(_position, p_snapshot.position);
-			_started = true;
+			_has_read = true;
 		}
 		_put_in_force(state);
 	} catch (const document_error &) {
--- a/servers/configuration/configuration_parser.cpp
+++ b/servers/configuration/configuration_parser.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: configuration_parser.cpp
- * Turns a configuration document into typed data, or lists all its mistakes.
+ * Parses a configuration document into typed data, or reports all its mistakes.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -137,21 +137,21 @@
 	return policy;
 }
 
-/** Collects mistakes that a schema cannot state. */
-class meaning_check {
+/** Collects mistakes that the schema can't express. */
+class semantic_check {
 	const configuration &_configuration;
 	std::vector<document_problem> _problems;
 
-	void _report(std::string p_place, std::string p_found, std::string p_expected) {
-		_problems.push_back(document_problem{ std::move(p_place), std::move(p_found), std::move(p_expected) });
+	void _report(std::string p_path, std::string p_found, std::string p_expected) {
+		_problems.push_back(document_problem{ std::move(p_path), std::move(p_found), std::move(p_expected) });
 	}
 
 	template <typename item_type>
-	void _check_names(const std::string &p_place, const std::vector<item_type> &p_items) {
+	void _check_names(const std::string &p_path, const std::vector<item_type> &p_items) {
 		std::set<std::string> seen;
 		for (std::size_t i = 0; i < p_items.size(); i++) {
 			if (!seen.insert(p_items[i].name).second) {
-				_report(p_place + "/" + std::to_string(i) + "/name", "\"" + p_items[i].name + "\" again", "a name used once");
+				_report(p_path + "/" + std::to_string(i) + "/name", "\"" + p_items[i].name + "\" again", "a name used once");
 			}
 		}
 	}
@@ -166,27 +166,27 @@
 		}
 	}
 
-	void _check_stage(const std::string &p_place, const stage_settings &p_stage) {
+	void _check_stage(const std::string &p_path, const stage_settings &p_stage) {
 		const pool_settings *pool = _configuration.find_pool(p_stage.pool);
 		if (pool == nullptr) {
-			_report(p_place + "/pool", "\"" + p_stage.pool + "\"", "the name of a pool in /pools");
+			_report(p_path + "/pool", "\"" + p_stage.pool + "\"", "the name of a pool in /pools");
 			return;
 		}
 		if (pool->kind == stage_kind::GENERATE && p_stage.max_tokens == 0) {
-			_report(p_place, "no max_tokens", "max_tokens of at least 1 for a stage that generates");
+			_report(p_path, "no max_tokens", "max_tokens of at least 1 for a stage that generates");
 		}
 		if (!p_stage.repeatable && p_stage.hedgeable) {
-			_report(p_place + "/hedgeable", "true", "false, as the stage may not be repeated");
+			_report(p_path + "/hedgeable", "true", "false, as the stage may not be repeated");
 		}
 	}
 
 	void _check_pipelines() {
 		for (std::size_t i = 0; i < _configuration.pipelines.size(); i++) {
 			const pipeline_settings &pipeline = _configuration.pipelines[i];
-			const std::string place = "/pipelines/" + std::to_string(i) + "/stages";
-			_check_names(place, pipeline.stages);
+			const std::string path = "/pipelines/" + std::to_string(i) + "/stages";
+			_check_names(path, pipeline.stages);
 			for (std::size_t j = 0; j < pipeline.stages.size(); j++) {
-				_check_stage(place + "/" + std::to_string(j), pipeline.stages[j]);
+				_check_stage(path + "/" + std::to_string(j), pipeline.stages[j]);
 			}
 		}
 	}
@@ -197,17 +197,17 @@
 			if (!effect.from_pool) {
 				continue;
 			}
-			const std::string place = "/rules/" + std::to_string(i) + "/steer/pool";
+			const std::string path = "/rules/" + std::to_string(i) + "/steer/pool";
 			const pool_settings *from = _configuration.find_pool(*effect.from_pool);
 			const pool_settings *to = _configuration.find_pool(*effect.to_pool);
 			if (from == nullptr) {
-				_report(place + "/from", "\"" + *effect.from_pool + "\"", "the name of a pool in /pools");
+				_report(path + "/from", "\"" + *effect.from_pool + "\"", "the name of a pool in /pools");
 			}
 			if (to == nullptr) {
-				_report(place + "/to", "\"" + *effect.to_pool + "\"", "the name of a pool in /pools");
+				_report(path + "/to", "\"" + *effect.to_pool + "\"", "the name of a pool in /pools");
 			}
 			if (from != nullptr && to != nullptr && from->kind != to->kind) {
-				_report(place + "/to", std::string(get_name(to->kind)), "a pool of kind " + std::string(get_name(from->kind)));
+				_report(path + "/to", std::string(get_name(to->kind)), "a pool of kind " + std::string(get_name(from->kind)));
 			}
 		}
 	}
@@ -225,7 +225,7 @@
 	}
 
 public:
-	explicit meaning_check(const configuration &p_configuration) :
+	explicit semantic_check(const configuration &p_configuration) :
 			_configuration(p_configuration) {}
 
 	std::vector<document_problem> run() {
@@ -245,9 +245,9 @@
 } // namespace
 
 configuration parse_configuration(std::string_view p_text) {
-	if (p_text.size() > LARGEST_CONFIGURATION) {
+	if (p_text.size() > MAX_CONFIGURATION_BYTES) {
 		const std::string found = std::to_string(p_text.size()) + " bytes";
-		const std::string expected = "at most " + std::to_string(LARGEST_CONFIGURATION) + " bytes";
+		const std::string expected = "at most " + std::to_string(MAX_CONFIGURATION_BYTES) + " bytes";
 		throw document_error({ document_problem{ "", found, expected } });
 	}
 	const json document = parse_checked(schema_name::CONFIGURATION, p_text);
@@ -270,7 +270,7 @@
 	if (document.contains("policy")) {
 		result.policy = read_policy(document.at("policy"));
 	}
-	std::vector<document_problem> problems = meaning_check(result).run();
+	std::vector<document_problem> problems = semantic_check(result).run();
 	if (!problems.empty()) {
 		throw document_error(std::move(problems));
 	}
--- a/servers/configuration/configuration_parser.h
+++ b/servers/configuration/configuration_parser.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: configuration_parser.h
- * Turns a configuration document into typed data, or lists all its mistakes.
+ * Parses a configuration document into typed data, or reports all its mistakes.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -15,12 +15,12 @@
 
 namespace calicoscale {
 
-/** Largest configuration document that is accepted, in bytes. */
-constexpr std::size_t LARGEST_CONFIGURATION = 512 * 1024;
+/** Maximum size of an accepted configuration document. */
+constexpr std::size_t MAX_CONFIGURATION_BYTES = 512 * 1024;
 
 /**
- * Parses and checks a configuration document: size, schema, then meaning.
- * @throws document_error with every mistake found.
+ * Parses a configuration document and checks its size, its schema, then what the schema can't express.
+ * @throws document_error with all mistakes of the first of these checks that fails.
  */
 configuration parse_configuration(std::string_view p_text);
 
--- a/servers/configuration/document_schema.cpp
+++ b/servers/configuration/document_schema.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: document_schema.cpp
- * The only file that compiles the schema validator, as it is slow to compile.
+ * Checks documents against the schemas. The only file that includes the schema validator, which is slow to compile.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -23,7 +23,7 @@
 
 namespace {
 
-constexpr std::size_t LONGEST_DESCRIPTION = 60;
+constexpr std::size_t MAX_DESCRIPTION_BYTES = 60;
 
 const valijson::Schema &get_schema(schema_name p_schema) {
 	static std::map<schema_name, valijson::Schema> cache;
@@ -37,21 +37,21 @@
 	return found->second;
 }
 
-/** Turns valijson's context, "<root>[a][0]", into a JSON pointer, "/a/0". */
-std::string make_place(const std::vector<std::string> &p_context) {
-	std::string place;
+/** Converts valijson's context, "<root>[a][0]", into a JSON pointer, "/a/0". */
+std::string make_path(const std::vector<std::string> &p_context) {
+	std::string path;
 	for (std::size_t i = 1; i < p_context.size(); i++) {
 		std::string step = p_context[i];
 		if (step.size() >= 2 && step.front() == '[') {
 			step = step.substr(1, step.size() - 2);
 		}
-		place += "/" + step;
+		path += "/" + step;
 	}
-	return place;
+	return path;
 }
 
-std::string describe_at(const nlohmann::json &p_document, const std::string &p_place) {
-	const nlohmann::json::json_pointer pointer(p_place);
+std::string describe_at(const nlohmann::json &p_document, const std::string &p_path) {
+	const nlohmann::json::json_pointer pointer(p_path);
 	if (!p_document.contains(pointer)) {
 		return "nothing";
 	}
@@ -76,8 +76,8 @@
 
 std::string describe(const nlohmann::json &p_value) {
 	std::string text = p_value.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
-	if (text.size() > LONGEST_DESCRIPTION) {
-		text = text.substr(0, LONGEST_DESCRIPTION) + "...";
+	if (text.size() > MAX_DESCRIPTION_BYTES) {
+		text = text.substr(0, MAX_DESCRIPTION_BYTES) + "...";
 	}
 	return text;
 }
@@ -92,15 +92,15 @@
 	}
 	valijson::ValidationResults::Error error;
 	while (results.popError(error)) {
-		// The validator reports a failing child again at each of its parents; only the innermost place helps.
+		// The validator reports a failing child again at each of its parents; only the innermost position is useful.
 		if (error.description.find("Failed to validate against schema associated with") != std::string::npos) {
 			continue;
 		}
 		if (error.description.find("Failed to validate item #") != std::string::npos) {
 			continue;
 		}
-		const std::string place = make_place(error.context);
-		problems.push_back(document_problem{ place, describe_at(p_document, place), "what the schema asks: " + error.description });
+		const std::string path = make_path(error.context);
+		problems.push_back(document_problem{ path, describe_at(p_document, path), "what the schema asks: " + error.description });
 	}
 	if (problems.empty()) {
 		problems.push_back(document_problem{ "", describe(p_document), "a document that follows the schema" });
--- a/servers/configuration/document_schema.h
+++ b/servers/configuration/document_schema.h
@@ -27,19 +27,18 @@
 	GATEWAY_SETTINGS,
 };
 
-/** Text of a shipped schema. */
 std::string_view get_schema_text(schema_name p_schema);
 
-/** All places where the document does not follow the schema; empty when it does. */
+/** Returns all violations of the schema; empty when the document is valid. */
 std::vector<document_problem> check_schema(schema_name p_schema, const nlohmann::json &p_document);
 
 /**
  * Parses JSON text and checks it against the schema.
- * @throws document_error when the text is no JSON or breaks the schema.
+ * @throws document_error when the text isn't JSON or violates the schema.
  */
 nlohmann::json parse_checked(schema_name p_schema, std::string_view p_text);
 
-/** Short form of a value for messages. */
+/** Text of a value for messages; long values are truncated. */
 std::string describe(const nlohmann::json &p_value);
 
 } // namespace calicoscale
--- a/servers/configuration/log_record.cpp
+++ b/servers/configuration/log_record.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: log_record.cpp
- * Records of the configuration stream, and their form on the log.
+ * Records of the configuration stream, and their encoding on the log.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,7 +18,7 @@
 
 using json = nlohmann::json;
 
-constexpr std::size_t LARGEST_ENVELOPE = 4096;
+constexpr std::size_t MAX_ENVELOPE_BYTES = 4096;
 constexpr std::string_view CHANGE_KIND = "change";
 constexpr std::string_view CHECKPOINT_KIND = "checkpoint";
 
@@ -76,7 +76,7 @@
 }
 
 std::optional<configuration_record> decode_configuration_record(std::string_view p_bytes) {
-	if (p_bytes.size() > LARGEST_CONFIGURATION + LARGEST_ENVELOPE) {
+	if (p_bytes.size() > MAX_CONFIGURATION_BYTES + MAX_ENVELOPE_BYTES) {
 		return std::nullopt;
 	}
 	const json record = json::parse(p_bytes, nullptr, false);
--- a/servers/configuration/log_record.h
+++ b/servers/configuration/log_record.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: log_record.h
- * Records of the configuration stream, and their form on the log.
+ * Records of the configuration stream, and their encoding on the log.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -19,19 +19,19 @@
 
 namespace calicoscale {
 
-/** An operator's change: a whole document and the version it was built on. */
+/** An operator's change: a complete document and the version that it is based on. */
 struct change_record {
 	std::string change_id; ///< Unique for each change, so that a repeated append is recognised.
-	std::uint64_t base = 0; ///< Version the document was built on; 0 means none.
+	std::uint64_t base = 0; ///< Version that the document is based on; 0 means none.
 	std::string author;
 	unix_milliseconds written_at = 0;
 	std::string document; ///< JSON text.
 };
 
-/** The state of the fold, written again so that it outlives the log's retention. */
+/** State of the fold, appended again so that it isn't removed by the log's retention. */
 struct checkpoint_record {
 	std::uint64_t version = 0;
-	std::uint64_t position = 0; ///< Every record below this offset is taken into account.
+	std::uint64_t position = 0; ///< All records below this offset are applied.
 	std::string change_id;
 	unix_milliseconds written_at = 0;
 	std::string document; ///< Empty for version 0.
@@ -39,12 +39,10 @@
 
 using configuration_record = std::variant<change_record, checkpoint_record>;
 
-/** Form of a change on the log. */
 std::string encode(const change_record &p_record);
-/** Form of a checkpoint on the log. */
 std::string encode(const checkpoint_record &p_record);
 
-/** Reads a record; empty when it is malformed or over LARGEST_CONFIGURATION plus its envelope. */
+/** Decodes a record; empty when it is malformed or larger than MAX_CONFIGURATION_BYTES plus its envelope. */
 std::optional<configuration_record> decode_configuration_record(std::string_view p_bytes);
 
 } // namespace calicoscale
--- a/tests/servers/configuration_test.cpp
+++ b/tests/servers/configuration_test.cpp
@@ -23,7 +23,7 @@
 
 namespace {
 
-/** A check that is quick: the document must be a number, and not 13. */
+/** Cheap document check: accepts every document but 13. */
 configuration check_small(std::string_view p_text) {
 	if (p_text == "13") {
 		throw document_error({ document_problem{ "", "13", "another number" } });
@@ -31,8 +31,8 @@
 	return configuration();
 }
 
-/** A log that forgets, and nodes that read it now and then. */
-class fold_world {
+/** Simulates a log that removes old records, and nodes that read it at random times. */
+class fold_simulation {
 	struct node {
 		std::unique_ptr<configuration_fold> fold;
 		std::uint64_t last_version = 0;
@@ -42,7 +42,7 @@
 	std::vector<std::string> _records;
 	std::uint64_t _earliest = 0;
 	std::vector<node> _nodes;
-	std::map<std::uint64_t, std::uint64_t> _truth; ///< Version at each position, by a fold that read everything.
+	std::map<std::uint64_t, std::uint64_t> _expected_versions; ///< Version at each position, by a fold that read all records.
 	configuration_fold _reference{ check_small };
 	unix_milliseconds _wall = 1000;
 	int _changes = 0;
@@ -50,13 +50,13 @@
 	void _append(const std::string &p_record) {
 		_records.push_back(p_record);
 		_reference.take_read(0, { log_entry{ _records.size() - 1, p_record } }, _wall);
-		_truth[_records.size()] = _reference.get_version();
+		_expected_versions[_records.size()] = _reference.get_version();
 	}
 
 	void _publish() {
 		change_record change;
 		change.change_id = "c" + std::to_string(_changes++);
-		// Operators race: some build on what is in force, some on what was.
+		// Operators race: some changes are based on the version in force, some on an earlier one.
 		const node &writer = _nodes[_choices.pick(static_cast<std::uint32_t>(_nodes.size()))];
 		change.base = _choices.one_in(4) ? _choices.pick(static_cast<std::uint32_t>(_records.size() + 2)) : writer.fold->get_version();
 		change.document = _choices.one_in(5) ? "13" : "1";
@@ -64,15 +64,15 @@
 		const std::string record = encode(change);
 		_append(record);
 		if (_choices.one_in(4)) {
-			_append(record); // The answer was lost and the append asked again.
+			_append(record); // The answer was lost and the append is repeated.
 		}
 	}
 
 	void _read(node &r_node) {
 		const std::uint64_t from = std::max(r_node.fold->get_position(), _earliest);
 		std::vector<log_entry> entries;
-		const std::size_t most = 1 + _choices.pick(5);
-		for (std::uint64_t offset = from; offset < _records.size() && entries.size() < most; offset++) {
+		const std::size_t max_entries = 1 + _choices.pick(5);
+		for (std::uint64_t offset = from; offset < _records.size() && entries.size() < max_entries; offset++) {
 			entries.push_back(log_entry{ offset, _records[offset] });
 		}
 		r_node.fold->take_read(_earliest, entries, _wall);
@@ -90,22 +90,22 @@
 		r_node.last_version = r_node.fold->get_version();
 		if (r_node.fold->is_certain()) {
 			const configuration_snapshot snapshot = r_node.fold->get_snapshot();
-			RC_ASSERT(!snapshot.certain || snapshot.version == _truth[snapshot.position]);
+			RC_ASSERT(!snapshot.certain || snapshot.version == _expected_versions[snapshot.position]);
 		}
 		if (r_node.last_version > 0) {
-			// Every version ever in force anywhere is one that the full fold accepted.
-			bool is_true = false;
-			for (const auto &[position, version] : _truth) {
-				is_true = is_true || version == r_node.last_version;
+			// Every version in force at any node is one that the fold of all records accepted.
+			bool is_expected = false;
+			for (const auto &[position, version] : _expected_versions) {
+				is_expected = is_expected || version == r_node.last_version;
 			}
-			RC_ASSERT(is_true);
+			RC_ASSERT(is_expected);
 		}
 	}
 
 public:
-	explicit fold_world(choice_source &r_choices) :
+	explicit fold_simulation(choice_source &r_choices) :
 			_choices(r_choices), _nodes(4) {
-		_truth[0] = 0;
+		_expected_versions[0] = 0;
 		for (node &entry : _nodes) {
 			entry.fold = std::make_unique<configuration_fold>(check_small);
 		}
@@ -145,7 +145,7 @@
 		_check_convergence();
 	}
 
-	/** Once a certain node writes a checkpoint and all read to the end, all are certain and agree. */
+	/** Checks that all nodes are certain and agree after a certain node has written a checkpoint and all have read it. */
 	void _check_convergence() {
 		for (int round = 0; round < 400; round++) {
 			for (node &entry : _nodes) {
@@ -180,7 +180,7 @@
 
 RC_GTEST_PROP(configuration_fold_properties, all_nodes_agree_and_nothing_reverts, ()) {
 	choice_source choices(300);
-	fold_world(choices).run();
+	fold_simulation(choices).run();
 }
 
 TEST(configuration_fold, racing_operators_get_one_winner) {
@@ -195,7 +195,7 @@
 
 TEST(configuration_fold, malformed_and_invalid_records_are_skipped_counted_and_shown) {
 	configuration_fold fold(check_small);
-	const std::string oversized(LARGEST_CONFIGURATION + 10'000, 'x');
+	const std::string oversized(MAX_CONFIGURATION_BYTES + 10'000, 'x');
 	fold.take_read(0, { { 0, "garbage" }, { 1, make_change("a", 0, "13") }, { 2, oversized }, { 3, make_change("b", 0) } }, 0);
 	EXPECT_EQ(fold.get_version(), 4U);
 	EXPECT_EQ(fold.get_invalid_count(), 3U);
@@ -205,7 +205,7 @@
 
 TEST(configuration_fold, truncated_log_is_not_taken_for_an_empty_one) {
 	configuration_fold fold(check_small);
-	// Record 0, which made version 1, is forgotten; this one builds on nothing and lost to it long ago.
+	// The log has removed record 0, which made version 1. Record 1 is based on no version, so it was overtaken by it.
 	fold.take_read(1, { { 1, make_change("late", 0) } }, 0);
 	EXPECT_EQ(fold.get_version(), 0U);
 	EXPECT_FALSE(fold.is_certain());
@@ -213,7 +213,7 @@
 
 TEST(configuration_fold, checkpoint_does_not_hide_changes_written_around_it) {
 	configuration_fold fold(check_small);
-	// The checkpoint was made at position 5, then change 6 won the race onto the log.
+	// The checkpoint is of position 5, but the change at offset 5 was appended before it and becomes version 6.
 	const std::string checkpoint = encode(checkpoint_record{ 3, 5, "old", 0, "1" });
 	fold.take_read(5, { { 5, make_change("new", 3) }, { 6, checkpoint } }, 0);
 	EXPECT_TRUE(fold.is_certain());
@@ -279,9 +279,9 @@
 TEST(configuration_parser, names_every_mistake_at_once) {
 	std::string text(SAMPLE_CONFIGURATION);
 	const auto replace = [&text](const std::string &p_from, const std::string &p_to) {
-		const std::size_t place = text.find(p_from);
-		ASSERT_NE(place, std::string::npos);
-		text.replace(place, p_from.size(), p_to);
+		const std::size_t position = text.find(p_from);
+		ASSERT_NE(position, std::string::npos);
+		text.replace(position, p_from.size(), p_to);
 	};
 	replace("\"pool\": \"engines\"", "\"pool\": \"no-such-pool\"");
 	replace("\"routing\": \"predicted_finish\"", "\"routing\": \"best\"");
@@ -304,7 +304,7 @@
 	for (const char *text : { "", "[]", "{}", "{\"customers\": 1}", "nonsense", "{\"customers\": [], \"pools\": [], \"pipelines\": [], \"extra\": 1}" }) {
 		EXPECT_THROW(parse_configuration(text), document_error) << text;
 	}
-	EXPECT_THROW(parse_configuration(std::string(LARGEST_CONFIGURATION + 1, ' ')), document_error);
+	EXPECT_THROW(parse_configuration(std::string(MAX_CONFIGURATION_BYTES + 1, ' ')), document_error);
 }
 
 } // namespace calicoscale
--- a/tests/servers/once_test.cpp
+++ b/tests/servers/once_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: once_test.cpp
- * Tickets and claims: at most one run under any faults.
+ * Tickets and claims: at max_batches one run under any faults.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -23,8 +23,8 @@
 constexpr duration KEY_AGE = std::chrono::minutes(10);
 constexpr unix_milliseconds START = 1'000'000'000;
 
-/** Nodes that claim keys on one log which loses answers, forgets, and delivers appends late. */
-class claim_world {
+/** Simulates nodes that claim keys on one log that loses answers, removes old records and applies appends late. */
+class claim_simulation {
 	struct node {
 		std::unique_ptr<claim_book> book;
 		std::string vm;
@@ -39,12 +39,12 @@
 	std::vector<std::string> _delayed; ///< Appends that will take effect later.
 	std::map<std::string, int> _runs;
 	unix_milliseconds _wall = START;
-	std::uint64_t _lives = 0;
+	std::uint64_t _incarnations = 0;
 
 	void _restart(node &r_node) {
 		RC_LOG() << r_node.vm << " restarts at " << _wall - START << "\n";
-		r_node.vm = "vm" + std::to_string(_lives % 3);
-		r_node.book = std::make_unique<claim_book>(r_node.vm, ++_lives, KEY_AGE, 1000);
+		r_node.vm = "vm" + std::to_string(_incarnations % 3);
+		r_node.book = std::make_unique<claim_book>(r_node.vm, ++_incarnations, KEY_AGE, 1000);
 		r_node.waiting.clear();
 		r_node.running.clear();
 	}
@@ -111,14 +111,14 @@
 		const std::uint64_t from = std::max(r_node.book->get_position(), _earliest);
 		std::vector<std::optional<claim_batch>> batches;
 		std::uint64_t next = from;
-		const std::size_t most = 1 + _choices.pick(4);
-		while (next < _records.size() && batches.size() < most) {
+		const std::size_t max_batches = 1 + _choices.pick(4);
+		while (next < _records.size() && batches.size() < max_batches) {
 			batches.push_back(decode_claim_batch(_records[next++]));
 		}
 		_settle(r_node, r_node.book->take_read(_earliest, batches, next, next == _records.size(), _wall));
 	}
 
-	void _end(node &r_node) {
+	void _finish(node &r_node) {
 		if (!r_node.running.empty()) {
 			const std::uint64_t claim = r_node.running.begin()->first;
 			RC_LOG() << r_node.vm << " ends claim " << claim << "\n";
@@ -137,7 +137,7 @@
 	}
 
 public:
-	explicit claim_world(choice_source &r_choices) :
+	explicit claim_simulation(choice_source &r_choices) :
 			_choices(r_choices), _nodes(3) {
 		for (node &entry : _nodes) {
 			_restart(entry);
@@ -163,7 +163,7 @@
 					_read(chosen);
 					break;
 				case 7:
-					_end(chosen);
+					_finish(chosen);
 					break;
 				case 8:
 					_give_up(chosen);
@@ -201,7 +201,7 @@
 
 RC_GTEST_PROP(claim_book_properties, a_key_runs_at_most_once_under_any_faults, ()) {
 	choice_source choices(400);
-	claim_world(choices).run();
+	claim_simulation(choices).run();
 }
 
 RC_GTEST_PROP(ticket_book_properties, a_ticket_runs_at_most_once, ()) {
