--- a/servers/configuration/change_publisher.h
+++ b/servers/configuration/change_publisher.h
@@ -33,7 +33,7 @@
 	ACCEPTED,
 	OVERTAKEN,
 	REJECTED,
-	NOT_PUBLISHED, ///< Every append failed, so the change isn't on the log.
+	NOT_PUBLISHED, ///< No append took effect; the change isn't on the log.
 	UNKNOWN, ///< The time limit passed while the change may still take effect.
 };
 
--- a/servers/once/idempotency_key.cpp
+++ b/servers/once/idempotency_key.cpp
@@ -48,7 +48,7 @@
 } // namespace
 
 std::optional<claimed_key> parse_claimed_key(std::string_view p_text) {
-	if (p_text.size() > LONGEST_KEY) {
+	if (p_text.size() > MAX_KEY_BYTES) {
 		return std::nullopt;
 	}
 	const std::size_t dash = p_text.find('-');
@@ -63,7 +63,7 @@
 }
 
 std::optional<ticket_key> parse_ticket(std::string_view p_text) {
-	if (p_text.size() > LONGEST_KEY + CODE_LENGTH) {
+	if (p_text.size() > MAX_KEY_BYTES + CODE_LENGTH) {
 		return std::nullopt;
 	}
 	const std::vector<std::string_view> parts = split(p_text, '/');
--- a/servers/once/idempotency_key.h
+++ b/servers/once/idempotency_key.h
@@ -19,7 +19,7 @@
 namespace calicoscale {
 
 /** Maximum length of a caller's key. */
-constexpr std::size_t LONGEST_KEY = 128;
+constexpr std::size_t MAX_KEY_BYTES = 128;
 
 /** A caller's own key, "<creation time in unix milliseconds>-<any text>"; it is claimed on the log. */
 struct claimed_key {
--- a/servers/timeline/event_ring.cpp
+++ b/servers/timeline/event_ring.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: event_ring.cpp
- * Bounded record of what a process did.
+ * Bounded list of the events of a process.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -51,9 +51,9 @@
 	}
 }
 
-std::vector<timeline_event> event_ring::find(std::string_view p_request, std::size_t p_most) const {
+std::vector<timeline_event> event_ring::find(std::string_view p_request, std::size_t p_max_events) const {
 	std::vector<timeline_event> found;
-	for (auto event = _events.rbegin(); event != _events.rend() && found.size() < p_most; ++event) {
+	for (auto event = _events.rbegin(); event != _events.rend() && found.size() < p_max_events; ++event) {
 		if (p_request.empty() || event->request == p_request) {
 			found.push_back(*event);
 		}
--- a/servers/timeline/event_ring.h
+++ b/servers/timeline/event_ring.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: event_ring.h
- * Bounded record of what a process did.
+ * Bounded list of the events of a process.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -19,7 +19,6 @@
 
 namespace calicoscale {
 
-/** Kinds of events. */
 enum class event_kind {
 	REQUEST_STARTED,
 	REQUEST_FINISHED,
@@ -27,29 +26,28 @@
 	ATTEMPT_STARTED,
 	ATTEMPT_ENDED,
 	FIRST_TOKEN,
-	PASSED_ON, ///< Handed to the node that owns its key.
+	PASSED_ON, ///< Forwarded to the node that owns its key.
 	CONFIGURATION_IN_FORCE,
 	CONFIGURATION_REJECTED,
 	MEMBER_CHANGED,
 	ENDPOINT_CHANGED,
-	NODE_CHANGED, ///< Ready, draining, stopped.
+	NODE_CHANGED, ///< The node became ready, draining or stopped.
 	CLAIM_SETTLED,
 };
 
 /** Name of a kind, e.g. "attempt_started". */
 std::string_view get_name(event_kind p_kind);
 
-/** One event. */
 struct timeline_event {
 	hybrid_time at;
 	event_kind kind = event_kind::NODE_CHANGED;
 	std::string request; ///< Request id; empty for events of no request.
-	std::string subject; ///< Endpoint, pool, member or version the event is about.
+	std::string subject; ///< Endpoint, pool, member or version that the event concerns.
 	std::string detail; ///< Verdict, reason or state.
-	std::int64_t elapsed_microseconds = -1; ///< For ends: time since the start; -1 for none.
+	std::int64_t elapsed_microseconds = -1; ///< For events that end something: time since its start; -1 for none.
 };
 
-/** An event with the node it comes from. */
+/** An event with the node that it comes from. */
 struct node_event {
 	std::string node;
 	std::uint64_t incarnation = 0;
@@ -65,11 +63,10 @@
 public:
 	explicit event_ring(std::size_t p_capacity);
 
-	/** Adds an event. */
 	void add(timeline_event p_event);
 
-	/** Events of a request, or all when the id is empty; at most so many of the newest. */
-	std::vector<timeline_event> find(std::string_view p_request, std::size_t p_most) const;
+	/** Returns the newest events of a request, or of all if the id is empty, at most p_max_events; oldest first. */
+	std::vector<timeline_event> find(std::string_view p_request, std::size_t p_max_events) const;
 
 	std::size_t get_size() const { return _events.size(); }
 	std::uint64_t get_overwritten() const { return _overwritten; }
--- a/servers/timeline/logged_event.cpp
+++ b/servers/timeline/logged_event.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: logged_event.cpp
- * One line of a gateway's log, read back.
+ * Parses a line of a gateway's log.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -16,8 +16,8 @@
 
 std::optional<std::int64_t> parse_number(std::string_view p_text) {
 	std::int64_t number = 0;
-	const std::from_chars_result end = std::from_chars(p_text.data(), p_text.data() + p_text.size(), number);
-	if (end.ec != std::errc() || end.ptr != p_text.data() + p_text.size()) {
+	const std::from_chars_result parsed = std::from_chars(p_text.data(), p_text.data() + p_text.size(), number);
+	if (parsed.ec != std::errc() || parsed.ptr != p_text.data() + p_text.size()) {
 		return std::nullopt;
 	}
 	return number;
@@ -42,15 +42,15 @@
 	logged_event entry;
 	bool has_time = false;
 	while (!p_line.empty()) {
-		const std::size_t blank = p_line.find_first_of(" \r\n");
-		const std::string_view pair = p_line.substr(0, blank);
-		p_line.remove_prefix(blank == std::string_view::npos ? p_line.size() : blank + 1);
-		const std::size_t sign = pair.find('=');
-		if (sign == std::string_view::npos) {
+		const std::size_t pair_end = p_line.find_first_of(" \r\n");
+		const std::string_view pair = p_line.substr(0, pair_end);
+		p_line.remove_prefix(pair_end == std::string_view::npos ? p_line.size() : pair_end + 1);
+		const std::size_t separator = pair.find('=');
+		if (separator == std::string_view::npos) {
 			continue;
 		}
-		const std::string_view key = pair.substr(0, sign);
-		const std::string_view value = pair.substr(sign + 1);
+		const std::string_view key = pair.substr(0, separator);
+		const std::string_view value = pair.substr(separator + 1);
 		if (key == "ms") {
 			const std::optional<std::int64_t> time = parse_number(value);
 			has_time = time.has_value();
--- a/servers/timeline/logged_event.h
+++ b/servers/timeline/logged_event.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: logged_event.h
- * One line of a gateway's log, read back.
+ * Parses a line of a gateway's log.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,20 +18,20 @@
 
 namespace calicoscale {
 
-/** A line `ms=N event=NAME key=value ...`. */
+/** A line `ms=N event=NAME key=value ...` of a log. */
 struct logged_event {
-	std::int64_t steady_ms = 0; ///< The machine's steady clock.
+	std::int64_t steady_ms = 0; ///< Steady clock of the gateway's VM.
 	std::string event;
-	std::vector<std::pair<std::string, std::string>> fields; ///< In the order of the line, the two above left out.
+	std::vector<std::pair<std::string, std::string>> fields; ///< All fields but `ms` and `event`, in the order of the line.
 
-	/** Value of a field; empty when the line lacks it. */
+	/** Value of a field; empty if the line doesn't have it. */
 	std::string_view find(std::string_view p_key) const;
 
-	/** Value of a field as a whole number; empty when it is missing or is none. */
+	/** Value of a field as an integer; empty if it is missing or isn't an integer. */
 	std::optional<std::int64_t> find_number(std::string_view p_key) const;
 };
 
-/** Reads a line; empty when it is not one of a gateway's log, e.g. a message of a library. */
+/** Parses a line; empty if it isn't an event of a gateway, e.g. a message of a library. */
 std::optional<logged_event> parse_logged_event(std::string_view p_line);
 
 } // namespace calicoscale
--- a/servers/timeline/request_story.cpp
+++ b/servers/timeline/request_story.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: request_story.cpp
- * What the logs of all nodes tell of one request, and why it ended as it did.
+ * Collects the log lines of all nodes on one request and explains its outcome.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -15,9 +15,9 @@
 
 namespace {
 
-/** What happened to an endpoint or a node this long before a request can still explain it. */
+/** An event of an endpoint or a node up to this long before a request may explain its outcome. */
 constexpr std::int64_t CONTEXT_BEFORE_MS = 3000;
-/** A node that went is back in about a second; its start shows that it went. */
+/** A crashed node restarts in about a second; the event of its start shows that it crashed. */
 constexpr std::int64_t CONTEXT_AFTER_MS = 3000;
 
 struct reason_text {
@@ -41,9 +41,9 @@
 } };
 
 std::string describe_reason(std::string_view p_reason) {
-	for (const reason_text &row : REASON_TEXTS) {
-		if (row.reason == p_reason) {
-			return std::string(row.text);
+	for (const reason_text &entry : REASON_TEXTS) {
+		if (entry.reason == p_reason) {
+			return std::string(entry.text);
 		}
 	}
 	return std::string(p_reason);
@@ -82,12 +82,12 @@
 	if (p_entry.event == "peer_lost" || p_entry.event == "work_moved") {
 		return _nodes.contains(p_node) || _nodes.contains(std::string(p_entry.find("vm"))) || _nodes.contains(std::string(p_entry.find("from")));
 	}
-	const bool is_life = p_entry.event == "started" || p_entry.event == "readiness" || p_entry.event == "stopping" || p_entry.event == "stopped" || p_entry.event == "work_forgotten_after_pause" || p_entry.event == "loop_held_up";
+	const bool is_lifecycle = p_entry.event == "started" || p_entry.event == "readiness" || p_entry.event == "stopping" || p_entry.event == "stopped" || p_entry.event == "work_forgotten_after_pause" || p_entry.event == "loop_held_up";
 	const bool is_dependency = p_entry.event == "dependency_lost" || p_entry.event == "dependency_regained" || p_entry.event == "configuration_in_force";
-	return (is_life || is_dependency || p_entry.event == "log_lines_dropped") && _nodes.contains(p_node);
+	return (is_lifecycle || is_dependency || p_entry.event == "log_lines_dropped") && _nodes.contains(p_node);
 }
 
-std::int64_t request_story::_note_clock(node_log &r_log, const logged_event &p_entry) {
+std::int64_t request_story::_update_clock(node_log &r_log, const logged_event &p_entry) {
 	const std::optional<std::int64_t> wall = p_entry.find_number("wall_ms");
 	if (wall) {
 		r_log.wall_offset = *wall - p_entry.steady_ms;
@@ -99,7 +99,7 @@
 }
 
 void request_story::_add(const std::string &p_node, std::int64_t p_wall_ms, const logged_event &p_entry, bool p_is_own) {
-	_lines.push_back(told_line{ p_wall_ms, p_node, p_entry, p_is_own });
+	_lines.push_back(merged_line{ p_wall_ms, p_node, p_entry, p_is_own });
 }
 
 void request_story::read(const std::string &p_log, std::string_view p_line) {
@@ -108,7 +108,7 @@
 		return;
 	}
 	node_log &log = _logs.try_emplace(p_log, node_log{ p_log, std::nullopt }).first->second;
-	const std::int64_t wall = _note_clock(log, *entry);
+	const std::int64_t wall = _update_clock(log, *entry);
 	if (!_is_about_request(*entry)) {
 		return;
 	}
@@ -136,16 +136,16 @@
 		return;
 	}
 	node_log &log = _logs.try_emplace(p_log, node_log{ p_log, std::nullopt }).first->second;
-	const std::int64_t wall = _note_clock(log, *entry);
-	const bool is_meanwhile = wall >= _first_ms - CONTEXT_BEFORE_MS && wall <= _last_ms + CONTEXT_AFTER_MS;
-	if (is_meanwhile && !_is_about_request(*entry) && _is_context(log.node, *entry)) {
+	const std::int64_t wall = _update_clock(log, *entry);
+	const bool is_in_window = wall >= _first_ms - CONTEXT_BEFORE_MS && wall <= _last_ms + CONTEXT_AFTER_MS;
+	if (is_in_window && !_is_about_request(*entry) && _is_context(log.node, *entry)) {
 		_add(log.node, wall, *entry, false);
 	}
 }
 
 const logged_event *request_story::_find_last(std::string_view p_event) const {
 	const logged_event *last = nullptr;
-	for (const told_line &line : _lines) {
+	for (const merged_line &line : _lines) {
 		if (line.is_own && line.entry.event == p_event) {
 			last = &line.entry;
 		}
@@ -161,26 +161,26 @@
 	return text;
 }
 
-std::string request_story::_find_longest_part() const {
+std::string request_story::_describe_longest_wait() const {
 	std::string longest;
 	std::int64_t longest_ms = 0;
-	const auto consider = [&longest, &longest_ms](std::int64_t p_ms, const std::string &p_what) {
+	const auto update_longest = [&longest, &longest_ms](std::int64_t p_ms, const std::string &p_activity) {
 		if (p_ms > longest_ms) {
 			longest_ms = p_ms;
-			longest = p_what;
+			longest = p_activity;
 		}
 	};
-	for (const told_line &line : _lines) {
+	for (const merged_line &line : _lines) {
 		const std::optional<std::int64_t> ms = line.entry.find_number("took_ms");
 		if (!line.is_own || !ms) {
 			continue;
 		}
 		if (line.entry.event == "stage_done" || line.entry.event == "stage_failed") {
-			consider(*ms, "stage " + std::string(line.entry.find("stage")) + " at pool " + std::string(line.entry.find("pool")));
+			update_longest(*ms, "stage " + std::string(line.entry.find("stage")) + " at pool " + std::string(line.entry.find("pool")));
 		} else if (line.entry.event == "first_event") {
-			consider(*ms, "the first event of endpoint " + std::string(line.entry.find("endpoint")));
+			update_longest(*ms, "the first event of endpoint " + std::string(line.entry.find("endpoint")));
 		} else if (line.entry.event == "attempt_failed") {
-			consider(*ms, "an attempt at endpoint " + std::string(line.entry.find("endpoint")) + " that failed");
+			update_longest(*ms, "an attempt at endpoint " + std::string(line.entry.find("endpoint")) + " that failed");
 		}
 	}
 	return longest.empty() ? "" : " The longest wait was " + std::to_string(longest_ms) + " ms, for " + longest + ".";
@@ -189,7 +189,7 @@
 std::string request_story::_explain_finish(const logged_event &p_finish) const {
 	const std::string took = std::string(p_finish.find("took_ms")) + " ms";
 	if (p_finish.find("verdict") == "completed") {
-		return "Answered in full after " + took + " and " + std::string(p_finish.find("sends")) + " sends." + _find_longest_part();
+		return "Answered in full after " + took + " and " + std::string(p_finish.find("sends")) + " sends." + _describe_longest_wait();
 	}
 	std::string text = p_finish.find("verdict") == "not_run" ? "Refused as not run after " : "Failed after ";
 	text += took + ": " + describe_reason(p_finish.find("reason")) + ".";
@@ -201,7 +201,7 @@
 	if (stage != nullptr) {
 		text += " Stage " + std::string(stage->find("stage")) + " at pool " + std::string(stage->find("pool")) + " ended by " + std::string(stage->find("end")) + ".";
 	}
-	return text + _find_longest_part();
+	return text + _describe_longest_wait();
 }
 
 std::string request_story::get_cause() const {
@@ -216,7 +216,7 @@
 	if (finished != nullptr) {
 		return _explain_finish(*finished);
 	}
-	for (const told_line &line : _lines) {
+	for (const merged_line &line : _lines) {
 		if (!line.is_own && line.entry.event == "started" && line.wall_ms > _last_ms) {
 			return "No end is logged: node " + line.node + " ended and started again while it had the request.";
 		}
@@ -225,13 +225,13 @@
 }
 
 std::string request_story::write() {
-	std::stable_sort(_lines.begin(), _lines.end(), [](const told_line &p_left, const told_line &p_right) { return p_left.wall_ms < p_right.wall_ms; });
+	std::stable_sort(_lines.begin(), _lines.end(), [](const merged_line &p_left, const merged_line &p_right) { return p_left.wall_ms < p_right.wall_ms; });
 	std::string text;
-	for (const told_line &line : _lines) {
+	for (const merged_line &line : _lines) {
 		text += (line.is_own ? "* " : "  ") + std::to_string(line.wall_ms - _first_ms) + " ms  " + line.node + "  " + line.entry.event;
 		for (const auto &[key, value] : line.entry.fields) {
-			const bool is_known_already = value == _request || key == "requests";
-			text += is_known_already ? "" : " " + key + "=" + value;
+			const bool is_redundant = value == _request || key == "requests";
+			text += is_redundant ? "" : " " + key + "=" + value;
 		}
 		text += "\n";
 	}
--- a/servers/timeline/timeline_merge.cpp
+++ b/servers/timeline/timeline_merge.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: timeline_merge.cpp
- * Joins the events of many processes and writes them out.
+ * Sorts the events of many processes and formats them.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
--- a/servers/timeline/timeline_merge.h
+++ b/servers/timeline/timeline_merge.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: timeline_merge.h
- * Joins the events of many processes and writes them out.
+ * Sorts the events of many processes and formats them.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -13,17 +13,17 @@
 
 namespace calicoscale {
 
-/** Ways to write a time line. */
+/** Output formats of a timeline. */
 enum class timeline_format {
 	TABLE,
 	JSON_LINES,
-	TRACE, ///< Trace-event file for browser viewers.
+	TRACE, ///< JSON file of trace events, for trace viewers of browsers.
 };
 
-/** Orders events by their hybrid time, then by node. */
+/** Sorts events by their hybrid time, then by node. */
 void sort_events(std::vector<node_event> &r_events);
 
-/** Writes events in order. */
+/** Formats events, in the order given. */
 std::string write_timeline(const std::vector<node_event> &p_events, timeline_format p_format);
 
 } // namespace calicoscale
--- a/tests/servers/once_test.cpp
+++ b/tests/servers/once_test.cpp
@@ -268,7 +268,7 @@
 		EXPECT_FALSE(parse_claimed_key(text).has_value()) << text;
 		EXPECT_FALSE(parse_ticket(text).has_value()) << text;
 	}
-	EXPECT_FALSE(parse_claimed_key("1-" + std::string(LONGEST_KEY, 'x')).has_value());
+	EXPECT_FALSE(parse_claimed_key("1-" + std::string(MAX_KEY_BYTES, 'x')).has_value());
 }
 
 TEST(claim_book, lowest_offset_wins_and_the_loser_passes_on) {
--- a/tests/servers/timeline/request_story_test.cpp
+++ b/tests/servers/timeline/request_story_test.cpp
@@ -36,7 +36,7 @@
 	return p_text.find(p_part) != std::string::npos;
 }
 
-/** Two nodes whose steady clocks have nothing in common; `b` dispatches the pool and its replica fails the call. */
+/** Logs of two nodes with unrelated steady clocks; `b` dispatches the pool, and its replica's call is overdue. */
 logs make_logs() {
 	return logs{
 		{ "a.log", { "ms=1000 event=started vm=a wall_ms=50000", "ms=2000 event=request_admitted request=r1 route=x predicted_ms=400", "ms=2001 event=stage_asked request=r1 stage=0 pool=encode pieces=2 node=b left_ms=900", "ms=2002 event=stage_asked request=other stage=0 pool=encode node=b", "ms=2900 event=stage_failed request=r1 stage=0 pool=encode end=late took_ms=899", "ms=2901 event=request_finished request=r1 verdict=may_have_run reason=deadline_passed status=504 sends=0 took_ms=901" } },
