--- a/servers/once/claim_book.h
+++ b/servers/once/claim_book.h
@@ -88,6 +88,7 @@
 
 	/** Key of the maps: the customer and the hash of the idempotency key. */
 	static std::string _make_key_id(const std::string &p_customer, const std::string &p_key_hash);
+	/** Refuses all open claims of this node, which may have lost to a removed record. */
 	void _refuse_claiming(std::vector<settled_claim> &r_settled);
 	void _apply_claim(const claim_batch &p_batch, const claim_entry &p_entry, std::vector<settled_claim> &r_settled);
 
@@ -106,16 +107,17 @@
 	std::optional<claim_batch> take_batch();
 
 	/**
-	 * Records the result of a batch's append. After NOT_DONE the claims are withdrawn and returned as refused. After
-	 * UNKNOWN they stay open until the stream is read.
+	 * Records the result of a batch's append. After NOT_DONE the claims are withdrawn and returned as refused.
+	 * After DONE or UNKNOWN they stay open until the stream is read.
 	 */
 	std::vector<settled_claim> on_append_ended(const claim_batch &p_batch, append_result p_result);
 
 	/**
 	 * Applies one read of the stream and returns the claims of this node that it settles.
-	 * @param p_earliest first offset that the log still has. @param p_batches records from get_position() on, empty for a
-	 * malformed one.
-	 * @param p_next offset after the last one read. @param p_at_end whether the read reached the end of the stream.
+	 * @param p_earliest first offset that the log still has.
+	 * @param p_batches records from the larger of get_position() and p_earliest on; empty for a malformed record.
+	 * @param p_next offset after the last one read.
+	 * @param p_at_end whether the read reached the end of the stream.
 	 */
 	std::vector<settled_claim> take_read(std::uint64_t p_earliest, const std::vector<std::optional<claim_batch>> &p_batches, std::uint64_t p_next, bool p_at_end, unix_milliseconds p_wall);
 
@@ -123,7 +125,7 @@
 	void give_up(std::uint64_t p_claim);
 
 	/**
-	 * Records the outcome of a claim that submit() or take_read() answered with RUN. If the request did not run, the
+	 * Records the outcome of a claim that submit() or take_read() answered with RUN. If the request certainly did not run, the
 	 * next submission of the key at this node may run it.
 	 */
 	void on_done(std::uint64_t p_claim, bool p_may_have_run, kept_outcome p_outcome);
--- a/tests/servers/configuration_test.cpp
+++ b/tests/servers/configuration_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: configuration_test.cpp
- * The fold over the log, publishing, and the checks of documents.
+ * Tests the fold of the configuration log, publishing of changes, and the checks of documents.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -290,13 +290,13 @@
 		parse_configuration(text);
 		FAIL() << "a mistake was not found";
 	} catch (const document_error &error) {
-		std::set<std::string> places;
+		std::set<std::string> paths;
 		for (const document_problem &problem : error.get_problems()) {
-			places.insert(problem.place);
+			paths.insert(problem.place);
 		}
-		EXPECT_TRUE(places.contains("/policy/routing"));
-		EXPECT_TRUE(places.contains("/customers/1/name"));
-		EXPECT_TRUE(places.contains("/pipelines/0/stages/2/pool"));
+		EXPECT_TRUE(paths.contains("/policy/routing"));
+		EXPECT_TRUE(paths.contains("/customers/1/name"));
+		EXPECT_TRUE(paths.contains("/pipelines/0/stages/2/pool"));
 	}
 }
 
--- a/tests/servers/once_test.cpp
+++ b/tests/servers/once_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: once_test.cpp
- * Tickets and claims: at max_batches one run under any faults.
+ * Tests tickets and claims of idempotency keys: a request runs at most once under any faults.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -256,8 +256,8 @@
 	forged.expires_at += 1;
 	EXPECT_EQ(book.submit("customer", forged, START).refusal.why, reason::NOT_FOUND);
 	EXPECT_EQ(book.submit("customer", ticket, START + 1000).refusal, (outcome{ verdict::MAY_HAVE_RUN, reason::KEY_EXPIRED }));
-	ticket_book next_life("vm", 3, "new secret", 10);
-	EXPECT_EQ(next_life.submit("customer", ticket, START).refusal, (outcome{ verdict::MAY_HAVE_RUN, reason::ISSUER_GONE }));
+	ticket_book next_incarnation("vm", 3, "new secret", 10);
+	EXPECT_EQ(next_incarnation.submit("customer", ticket, START).refusal, (outcome{ verdict::MAY_HAVE_RUN, reason::ISSUER_GONE }));
 	ticket_book other_vm("vm2", 3, "new secret", 10);
 	EXPECT_EQ(other_vm.submit("customer", ticket, START).step, once_step::PASS_ON);
 }
--- a/tests/servers/timeline/request_story_test.cpp
+++ b/tests/servers/timeline/request_story_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: request_story_test.cpp
- * Logs of several nodes read back into the story of one request.
+ * Parses log lines, merges the logs of several nodes for one request, and explains its outcome.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -88,8 +88,8 @@
 }
 
 TEST(request_story, a_request_without_an_end_points_to_the_node_that_went) {
-	const request_story gone = read("r5", { { "a", { "ms=1 event=started vm=a wall_ms=1000", "ms=100 event=send request=r5 endpoint=e1", "ms=1500 event=started vm=a wall_ms=2500" } } });
-	EXPECT_EQ(gone.get_cause(), "No end is logged: node a ended and started again while it had the request.");
+	const request_story restarted = read("r5", { { "a", { "ms=1 event=started vm=a wall_ms=1000", "ms=100 event=send request=r5 endpoint=e1", "ms=1500 event=started vm=a wall_ms=2500" } } });
+	EXPECT_EQ(restarted.get_cause(), "No end is logged: node a ended and started again while it had the request.");
 	const request_story dropped = read("r6", { { "a", { "ms=100 event=send request=r6 endpoint=e1" } } });
 	EXPECT_TRUE(contains(dropped.get_cause(), "No end is logged")) << dropped.get_cause();
 	const request_story unknown = read("r7", make_logs());
