--- a/servers/once/claim_book.h
+++ b/servers/once/claim_book.h
@@ -125,8 +125,8 @@
 	void give_up(std::uint64_t p_claim);
 
 	/**
-	 * Records the outcome of a claim that submit() or take_read() answered with RUN. If the request certainly did not run, the
-	 * next submission of the key at this node may run it.
+	 * Records the outcome of a claim that submit() or take_read() answered with RUN. If the request certainly
+	 * did not run, the next submission of the key at this node may run it.
 	 */
 	void on_done(std::uint64_t p_claim, bool p_may_have_run, kept_outcome p_outcome);
 
