--- a/tests/servers/timeline/request_story_test.cpp
+++ b/tests/servers/timeline/request_story_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: request_story_test.cpp
- * Logs of several nodes read back into the story of one request.
+ * Parses log lines, merges the logs of several nodes for one request, and explains its outcome.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -36,7 +36,7 @@
 	return p_text.find(p_part) != std::string::npos;
 }
 
-/** Two nodes whose steady clocks have nothing in common; `b` dispatches the pool and its replica fails the call. */
+/** Logs of two nodes with unrelated steady clocks; `b` dispatches the pool, and its replica's call is overdue. */
 logs make_logs() {
 	return logs{
 		{ "a.log", { "ms=1000 event=started vm=a wall_ms=50000", "ms=2000 event=request_admitted request=r1 route=x predicted_ms=400", "ms=2001 event=stage_asked request=r1 stage=0 pool=encode pieces=2 node=b left_ms=900", "ms=2002 event=stage_asked request=other stage=0 pool=encode node=b", "ms=2900 event=stage_failed request=r1 stage=0 pool=encode end=late took_ms=899", "ms=2901 event=request_finished request=r1 verdict=may_have_run reason=deadline_passed status=504 sends=0 took_ms=901" } },
@@ -88,8 +88,8 @@
 }
 
 TEST(request_story, a_request_without_an_end_points_to_the_node_that_went) {
-	const request_story gone = read("r5", { { "a", { "ms=1 event=started vm=a wall_ms=1000", "ms=100 event=send request=r5 endpoint=e1", "ms=1500 event=started vm=a wall_ms=2500" } } });
-	EXPECT_EQ(gone.get_cause(), "No end is logged: node a ended and started again while it had the request.");
+	const request_story restarted = read("r5", { { "a", { "ms=1 event=started vm=a wall_ms=1000", "ms=100 event=send request=r5 endpoint=e1", "ms=1500 event=started vm=a wall_ms=2500" } } });
+	EXPECT_EQ(restarted.get_cause(), "No end is logged: node a ended and started again while it had the request.");
 	const request_story dropped = read("r6", { { "a", { "ms=100 event=send request=r6 endpoint=e1" } } });
 	EXPECT_TRUE(contains(dropped.get_cause(), "No end is logged")) << dropped.get_cause();
 	const request_story unknown = read("r7", make_logs());
