--- a/main/gateway/gateway_request.cpp
+++ b/main/gateway/gateway_request.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: gateway_request.cpp
- * One caller's request on its way through stages to an endpoint and back.
+ * Processes one caller's request: stage work, sends to endpoints and the answer.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -16,24 +16,24 @@
 
 namespace {
 
-/** Sends of one request that did not run; more would only find the same trouble. */
-constexpr int MOST_SENDS = 4;
-constexpr int MOST_RESUMES = 3;
+/** Maximum number of sends of one request, counting those that did not run. Further sends would probably fail for the same cause. */
+constexpr int MAX_SENDS = 4;
+constexpr int MAX_RESUMES = 3;
 constexpr duration RETRY_PAUSE = std::chrono::milliseconds(40);
-/** A place at an endpoint may come free before it was predicted to. */
+/** Maximum wait before endpoints are checked again, as a slot at an endpoint may become free earlier than predicted. */
 constexpr duration LIMIT_PAUSE = std::chrono::milliseconds(100);
-/** Time left below which a send cannot succeed any more. */
-constexpr duration LEAST_REMAINING = std::chrono::milliseconds(20);
+/** Remaining time below which a send can no longer succeed. */
+constexpr duration MIN_REMAINING_TIME = std::chrono::milliseconds(20);
 /**
- * Once, when an answer waits unread at the time to give up: timers run before sockets are read, and a node that was held up
- * would throw away what the endpoint answered in time. Long enough for one turn of the loop.
+ * Postpones the time to give up once, when an answer is waiting unread. Timers run before sockets are read, so after a process
+ * stall this node would discard an answer that the endpoint sent in time. Long enough for one iteration of the event loop.
  */
-constexpr duration LOOK_AGAIN = std::chrono::milliseconds(5);
+constexpr duration RECHECK_DELAY = std::chrono::milliseconds(5);
 constexpr duration SHORT_RETRY_AFTER = std::chrono::milliseconds(300);
-/** Requests that may not run twice use kept connections this fresh only, as a close may cross them. */
-constexpr duration FRESH_IDLE = std::chrono::milliseconds(700);
-constexpr duration USUAL_IDLE = std::chrono::milliseconds(2000);
-constexpr double USUAL_TIME_STEP = 0.05;
+/** Maximum idle time of a reused connection for requests that must not run twice: the endpoint may be closing an older one. */
+constexpr duration MAX_IDLE_TIME_UNREPEATABLE = std::chrono::milliseconds(700);
+constexpr duration MAX_IDLE_TIME_REPEATABLE = std::chrono::milliseconds(2000);
+constexpr double TYPICAL_TIME_WEIGHT = 0.05;
 
 expected_answer get_expected_answer(const admitted_request &p_request) {
 	if (p_request.route->repeats != repeat_rule::STREAM) {
@@ -84,17 +84,17 @@
 	_request.exchange->set_on_gone([this] { _on_caller_gone(); });
 	_request.exchange->set_on_flow([this](bool p_may_send) { _services.context.channels.set_reading(_exchange, p_may_send); });
 	_give_up_timer.set_at(_give_up_at);
-	_place = _services.guard.get_line().join(_request.service);
+	_queue_position = _services.guard.get_line().join(_request.service);
 	_services.repeats[_request.service].on_request(_services.context.settings.retries, _started);
 	_services.context.log.write_request(log_line("request_admitted").add("request", _request.facts.attempt).add("route", _request.route->name).add("customer", _request.customer == nullptr ? "" : _request.customer->name).add("priority", static_cast<long long>(get_priority(_request))).add("left_ms", _deadline - _started).add("predicted_ms", _request.predicted).add("rested_ms", _request.exchange->rested).add("earlier", static_cast<long long>(_request.exchange->earlier)).add("version", static_cast<long long>(_request.configuration->version)));
 	if (_stages.is_complete()) {
 		_send();
 		return;
 	}
-	_ask_permit([this](send_care p_care) { _begin_stages(p_care); });
+	_request_permit([this](send_care p_care) { _begin_stages(p_care); });
 }
 
-void gateway_request::_ask_permit(std::function<void(send_care)> p_on_granted) {
+void gateway_request::_request_permit(std::function<void(send_care)> p_on_granted) {
 	_permit.ask(permit_hooks{ std::move(p_on_granted), [this](duration p_retry_after) { _refuse(reason::ENDS_ENDPOINTS, p_retry_after); } });
 }
 
@@ -111,13 +111,13 @@
 
 bool gateway_request::_may_resume() const {
 	const event_splitter &events = _answer.get_events();
-	const bool can_go_on = _request.route->is_resumable && !events.get_last_id().empty() && !events.has_handed_part() && _resumes < MOST_RESUMES;
+	const bool can_go_on = _request.route->is_resumable && !events.get_last_id().empty() && !events.has_handed_part() && _resumes < MAX_RESUMES;
 	return can_go_on && _runs < std::max(_request.route->most_endpoints, 1);
 }
 
-bool gateway_request::_may_go_on_elsewhere() const {
+bool gateway_request::_may_continue_elsewhere() const {
 	const bool has_begun = _answer_started || !_answer.get_events().get_last_id().empty();
-	// The run that is broken off counts as one.
+	// The aborted run counts as a run.
 	return _runs + 1 < _request.route->most_endpoints && (has_begun ? _may_resume() : _may_repeat_run());
 }
 
@@ -130,24 +130,25 @@
 
 void gateway_request::_send() {
 	const instant now = event_loop::now();
-	if (_give_up_at - now < LEAST_REMAINING) {
+	if (_give_up_at - now < MIN_REMAINING_TIME) {
 		_give_up(reason::DEADLINE_PASSED);
 		return;
 	}
-	_ask_permit([this](send_care p_care) { _send_with(p_care); });
+	_request_permit([this](send_care p_care) { _send_with(p_care); });
 }
 
-void gateway_request::_on_none_to_send_to() {
-	const std::size_t before = _services.guard.get_line().count_before(_request.service, _place);
+void gateway_request::_on_no_endpoint_available() {
+	const std::size_t before = _services.guard.get_line().count_before(_request.service, _queue_position);
 	const send_prospect prospect = _services.guard.predict(get_router(_services, _request), _choice.make(), before);
 	if (!prospect.wait || get_router(_services, _request).get_open(_choice.make()).empty()) {
 		_refuse(reason::NO_ENDPOINT, prospect.rest_left.value_or(SHORT_RETRY_AFTER));
 		return;
 	}
 	const duration wait = *prospect.wait;
-	// All that are open have had what they take for the moment. Stage work that is done is lost with a refusal.
+	// All open endpoints have reached their limits for now. Refusing a request with completed stage work wastes that work, so it may
+	// wait until the time to give up.
 	const instant latest = _stages.is_empty() ? std::min(_give_up_at, _started + _request.route->objective) : _give_up_at;
-	const duration late = event_loop::now() + wait + get_answer_time(_services, _request) + LEAST_REMAINING - latest;
+	const duration late = event_loop::now() + wait + get_answer_time(_services, _request) + MIN_REMAINING_TIME - latest;
 	if (late > duration::zero()) {
 		_refuse(reason::NO_ENDPOINT, std::max(late, SHORT_RETRY_AFTER));
 		return;
@@ -162,7 +163,7 @@
 	router &choices = get_router(_services, _request);
 	const std::optional<endpoint_id> chosen = p_care == send_care::QUIETEST ? _choice.choose_quietest() : _choice.choose(_stages.get_results_zone());
 	if (!chosen) {
-		_on_none_to_send_to();
+		_on_no_endpoint_available();
 		return;
 	}
 	const endpoint_state &endpoint = *choices.find(*chosen);
@@ -189,10 +190,10 @@
 	request.echo_header = std::string(get_echo_header());
 	request.echo_value = _request.facts.attempt;
 	request.is_head = _request.exchange->head.method == "HEAD";
-	request.longest_idle = _request.route->repeats == repeat_rule::REPEATABLE ? USUAL_IDLE : FRESH_IDLE;
+	request.longest_idle = _request.route->repeats == repeat_rule::REPEATABLE ? MAX_IDLE_TIME_REPEATABLE : MAX_IDLE_TIME_UNREPEATABLE;
 	_answer.restart();
 	choices.on_attempt_started(_endpoint, now);
-	_services.guard.get_line().leave(_request.service, _place);
+	_services.guard.get_line().leave(_request.service, _queue_position);
 	_services.guard.on_sent(_endpoint_identity, now);
 	_run = version_run{ _request.service, endpoint.listing.vm, endpoint.listing.version };
 	_services.guard.get_rollouts().on_started(*_run);
@@ -232,7 +233,7 @@
 	const duration elapsed = now - _sent_at;
 	_services.engine_caches.on_first_event(_endpoint_identity, _predicted, elapsed, now);
 	_services.context.log.write_request(log_line("first_event").add("request", _request.facts.attempt).add("endpoint", _endpoint_identity.vm).add("took_ms", elapsed).add("wait_ms", _predicted.wait).add("reading_ms", _predicted.reading).add("unread_tokens", static_cast<long long>(_predicted.unread)));
-	usual = usual == duration::zero() ? elapsed : usual + duration(static_cast<duration::rep>(static_cast<double>((elapsed - usual).count()) * USUAL_TIME_STEP));
+	usual = usual == duration::zero() ? elapsed : usual + duration(static_cast<duration::rep>(static_cast<double>((elapsed - usual).count()) * TYPICAL_TIME_WEIGHT));
 }
 
 void gateway_request::_observe(const outcome &p_result) {
@@ -244,7 +245,7 @@
 		duration &usual = _services.usual_times[_request.service];
 		observation.usual = usual;
 		if (p_result.what == verdict::COMPLETED) {
-			usual = usual == duration::zero() ? observation.elapsed : usual + duration(static_cast<duration::rep>(static_cast<double>((observation.elapsed - usual).count()) * USUAL_TIME_STEP));
+			usual = usual == duration::zero() ? observation.elapsed : usual + duration(static_cast<duration::rep>(static_cast<double>((observation.elapsed - usual).count()) * TYPICAL_TIME_WEIGHT));
 		}
 	}
 	get_router(_services, _request).on_attempt_ended(_endpoint, observation, now);
@@ -261,7 +262,7 @@
 	}
 	rollout_service &rollouts = _services.guard.get_rollouts();
 	const bool is_answered = p_result.what != verdict::NOT_RUN && p_result.why != reason::CALLER_GONE;
-	// An endpoint that finds a request wrong has not failed.
+	// An endpoint that rejects an invalid request has not failed.
 	const bool has_failed = p_result.what != verdict::COMPLETED && (p_result.why != reason::ENDPOINT_ERROR || _answer.get_head().status >= http_status::FIRST_SERVER_ERROR);
 	if (is_answered) {
 		rollouts.on_answer(*_run, _request.route->name, has_failed, p_elapsed);
@@ -305,7 +306,7 @@
 void gateway_request::_confirm_end() {
 	_end_probe.start(_endpoint_address, [this, ended = _exchange](probe_end p_found) {
 		_services.context.log.write_request(log_line("answer_end_probed").add("request", _request.facts.attempt).add("endpoint", _endpoint_identity.vm).add("end", get_name(p_found)));
-		// The request may have been given up, or sent elsewhere, meanwhile.
+		// The request may have been given up or sent elsewhere since the probe started.
 		if (_exchange == ended) {
 			_on_judged(p_found == probe_end::REFUSED ? answer_end::CUT : answer_end::WHOLE);
 		}
@@ -315,12 +316,12 @@
 void gateway_request::_on_judged(answer_end p_end) {
 	_log_end_of_answer(p_end);
 	if (p_end == answer_end::LOST || p_end == answer_end::CUT) {
-		_note_lost_run();
+		_record_interrupted_run();
 	}
 	_judge_end(p_end);
 }
 
-void gateway_request::_note_lost_run() {
+void gateway_request::_record_interrupted_run() {
 	const endpoint_state *endpoint = get_router(_services, _request).find(_endpoint);
 	if (endpoint == nullptr) {
 		return;
@@ -344,7 +345,7 @@
 		_on_failure(get_reason(p_end));
 		return;
 	}
-	_on_whole_answer();
+	_on_complete_answer();
 }
 
 void gateway_request::_on_stream_end(answer_end p_end) {
@@ -385,15 +386,15 @@
 		_send();
 		return true;
 	}
-	// The results were given back when the stream began.
+	// The stage results were released when the stream began.
 	_stages.remake();
 	return true;
 }
 
-void gateway_request::_on_whole_answer() {
+void gateway_request::_on_complete_answer() {
 	if (_answer.get_notes().is_other_endpoint) {
 		_observe(outcome{ verdict::NOT_RUN, reason::REFUSED_LEAVING });
-		// Its address is another's, so it has ended; peers need not find out each for itself.
+		// Another endpoint answers at this address, so the old one has exited. Marking it spares each peer from finding this out itself.
 		_services.endpoints.mark_leaving(_endpoint_identity, "answer");
 		_on_not_run();
 		return;
@@ -420,7 +421,7 @@
 	}
 	_observe(outcome{ verdict::MAY_HAVE_RUN, reason::ENDPOINT_ERROR });
 	if (_answer.get_notes().has_seal) {
-		// The endpoint failed the request and lives.
+		// The endpoint failed the request but did not crash.
 		_services.crashes.on_run_done(get_content(_request));
 	}
 	_runs++;
@@ -435,7 +436,7 @@
 
 void gateway_request::_pass_answer() {
 	if (_answer_started) {
-		// Of the stream that was to go on.
+		// This is the answer to a resume of a stream whose head was already sent to the caller.
 		_fail(reason::ENDPOINT_ERROR);
 		return;
 	}
@@ -446,9 +447,9 @@
 void gateway_request::_on_not_run() {
 	const bool was_connected = _answer.get_head().status != 0;
 	_choice.avoid(_endpoint);
-	const bool has_time = _give_up_at - event_loop::now() > LEAST_REMAINING + RETRY_PAUSE;
-	// A send that reached an endpoint counts against the budget even when it was rejected there.
-	if (!has_time || _sends >= MOST_SENDS || (was_connected && !_try_repeat_budget())) {
+	const bool has_time = _give_up_at - event_loop::now() > MIN_REMAINING_TIME + RETRY_PAUSE;
+	// A send that reached an endpoint counts against the repeat budget even if the endpoint rejected it.
+	if (!has_time || _sends >= MAX_SENDS || (was_connected && !_try_repeat_budget())) {
 		_refuse(was_connected ? reason::REFUSED_BUSY : reason::CONNECT_FAILED, SHORT_RETRY_AFTER);
 		return;
 	}
@@ -459,7 +460,7 @@
 	_observe(outcome{ verdict::MAY_HAVE_RUN, p_reason });
 	_runs++;
 	_tally.add(verdict::MAY_HAVE_RUN);
-	const bool has_time = _give_up_at - event_loop::now() > LEAST_REMAINING;
+	const bool has_time = _give_up_at - event_loop::now() > MIN_REMAINING_TIME;
 	if (has_time && !_answer_started && _may_repeat_run() && _try_repeat_budget()) {
 		_choice.avoid(_endpoint);
 		_send();
@@ -490,9 +491,9 @@
 }
 
 void gateway_request::_on_give_up_time() {
-	if (!_has_looked_again && _exchange != 0 && _services.context.channels.has_unread(_exchange)) {
-		_has_looked_again = true;
-		_give_up_timer.set(LOOK_AGAIN);
+	if (!_has_rechecked && _exchange != 0 && _services.context.channels.has_unread(_exchange)) {
+		_has_rechecked = true;
+		_give_up_timer.set(RECHECK_DELAY);
 		return;
 	}
 	_give_up(reason::DEADLINE_PASSED);
@@ -516,7 +517,7 @@
 
 void gateway_request::on_reach_changed(const std::set<std::string> &p_unreached_zones) {
 	const endpoint_state *endpoint = _exchange == 0 ? nullptr : get_router(_services, _request).find(_endpoint);
-	if (endpoint == nullptr || !p_unreached_zones.contains(endpoint->listing.zone) || !_may_go_on_elsewhere()) {
+	if (endpoint == nullptr || !p_unreached_zones.contains(endpoint->listing.zone) || !_may_continue_elsewhere()) {
 		return;
 	}
 	_services.context.channels.cancel(_exchange);
@@ -544,7 +545,7 @@
 	}
 	_ended = true;
 	_permit.end();
-	_services.guard.get_line().leave(_request.service, _place);
+	_services.guard.get_line().leave(_request.service, _queue_position);
 	_give_up_timer.cancel();
 	_retry_timer.cancel();
 	_stages.end();
--- a/main/gateway/stage_dispatcher.cpp
+++ b/main/gateway/stage_dispatcher.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: stage_dispatcher.cpp
- * Hands stage work to the node that dispatches its pool, and dispatches the pools that are this node's.
+ * Assigns stage work to the node that dispatches its pool, and dispatches the pools assigned to this node.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,12 +18,12 @@
 namespace {
 
 constexpr duration TICK = std::chrono::milliseconds(30);
-/** A longer gap between ticks means that this process stood still; by then others do what was handed to it. */
+/** A longer gap between ticks means that this process was stalled; by then the work assigned to it has moved to other nodes. */
 constexpr duration PAUSE = std::chrono::milliseconds(600);
-/** A node that fell silent may still come back with its requests; after this its results go, before they expire by themselves. */
+/** A silent node may return with its requests. After this time its results are released, which is before they expire by themselves. */
 constexpr duration LOST_RESULTS_KEPT = std::chrono::milliseconds(600);
 
-/** Zero while it has not begun. */
+/** Returns zero if p_begin is not set. */
 duration get_time_since(instant p_begin, instant p_now) {
 	return p_begin == instant{} ? duration::zero() : p_now - p_begin;
 }
@@ -73,7 +73,7 @@
 			}
 		}
 	}
-	// Those of another number of shards still end what they were handed.
+	// Pools that remain from another number of shards still complete the work that they accepted.
 	for (auto &[name, entry] : _pools) {
 		_take_replicas(name, entry);
 	}
@@ -130,7 +130,7 @@
 	}
 	pool_caller_hooks hooks;
 	hooks.on_run_lost = [this](const lost_run &p_run) { _on_run_lost(p_run); };
-	// After a pause answers are read before the tick drops the work that others do by then.
+	// After a process stall, answers are read before the tick drops the work that has moved to other nodes. No calls are sent until then.
 	hooks.may_call = [this] { return event_loop::now() - _ticked_at <= PAUSE; };
 	hooks.on_ended = [this, p_name](const work_result &p_result) { _on_ended(_pools.at(p_name), p_result); };
 	pool_entry &made = _pools.try_emplace(p_name, _context, _guard, p_name, std::move(hooks)).first->second;
@@ -145,11 +145,11 @@
 	return dispatch_view{ _fleet.get_vm(), _fleet.get_dispatch_nodes(), !_fleet.is_hub(), [this](const std::string &p_vm) { return _fleet.get_link().is_linked(p_vm); } };
 }
 
-void stage_dispatcher::_note_told(const dispatch_view &p_view, instant p_now) {
+void stage_dispatcher::_record_dispatcher_known(const dispatch_view &p_view, instant p_now) {
 	if (!p_view.nodes.empty() || !p_view.is_told) {
-		_untold_since = instant{};
-	} else if (_untold_since == instant{}) {
-		_untold_since = p_now;
+		_no_dispatcher_since = instant{};
+	} else if (_no_dispatcher_since == instant{}) {
+		_no_dispatcher_since = p_now;
 	}
 }
 
@@ -191,8 +191,8 @@
 	own_work &own = _own.at(p_id);
 	const instant now = event_loop::now();
 	const dispatch_view view = _get_view();
-	_note_told(view, now);
-	const dispatch_wait wait{ get_time_since(_untold_since, now), get_time_since(own.waits_since, now) };
+	_record_dispatcher_known(view, now);
+	const dispatch_wait wait{ get_time_since(_no_dispatcher_since, now), get_time_since(own.waits_since, now) };
 	const std::optional<std::string> node = choose_work_node(own.pool, p_except, view, wait);
 	if (!node) {
 		own.node.clear();
@@ -284,7 +284,7 @@
 
 void stage_dispatcher::_on_handed_work_ended(const std::string &p_vm, const work_ended_message &p_message) {
 	const auto found = _own.find(p_message.id);
-	// Work that has moved meanwhile is the other node's.
+	// Ignores the message if the work has since been assigned to another node.
 	if (found == _own.end() || found->second.node != p_vm) {
 		return;
 	}
@@ -335,12 +335,12 @@
 	_own.erase(found);
 	for (std::size_t i = 0; i < p_result.handles.size(); i++) {
 		const std::uint64_t incarnation = i < p_result.incarnations.size() ? p_result.incarnations[i] : 0;
-		_held[own.pool][p_result.handles[i]] = own_result{ own.work.result_bytes, own.node, incarnation };
+		_used_results[own.pool][p_result.handles[i]] = own_result{ own.work.result_bytes, own.node, incarnation };
 	}
 	own.hook(p_result);
 }
 
-void stage_dispatcher::_tell_held(const std::string &p_pool, std::map<std::string, own_result> &r_held) {
+void stage_dispatcher::_report_used_results(const std::string &p_pool, std::map<std::string, own_result> &r_held) {
 	if (r_held.empty() || !_context.settings.mechanisms.has(mechanism::TOLD_RESULTS)) {
 		return;
 	}
@@ -379,7 +379,7 @@
 
 void stage_dispatcher::_release_of_lost() {
 	const instant now = event_loop::now();
-	for (auto lost = _lost_at.begin(); lost != _lost_at.end();) {
+	for (auto lost = _failed_at.begin(); lost != _failed_at.end();) {
 		if (!_fleet.is_heard(lost->first) && now - lost->second < LOST_RESULTS_KEPT) {
 			++lost;
 			continue;
@@ -393,12 +393,12 @@
 				}
 			}
 		}
-		lost = _lost_at.erase(lost);
+		lost = _failed_at.erase(lost);
 	}
 }
 
 void stage_dispatcher::_on_peer_lost(const std::string &p_vm) {
-	_lost_at[p_vm] = event_loop::now();
+	_failed_at[p_vm] = event_loop::now();
 	std::vector<std::uint64_t> moved;
 	for (const auto &[id, own] : _own) {
 		if (own.node == p_vm) {
@@ -465,8 +465,8 @@
 	_fleet.get_link().send(accepted.node, work_ended_message{ accepted.id, static_cast<std::uint8_t>(p_result.end), p_result.handles, p_result.incarnations });
 }
 
-std::string stage_dispatcher::_take_held(const std::string &p_pool, const std::string &p_handle) {
-	for (auto &[name, held] : _held) {
+std::string stage_dispatcher::_remove_used_result(const std::string &p_pool, const std::string &p_handle) {
+	for (auto &[name, held] : _used_results) {
 		if (held.contains(p_handle) && parse_shard_name(name).pool == p_pool) {
 			held.erase(p_handle);
 			return name;
@@ -478,7 +478,7 @@
 void stage_dispatcher::release(const std::string &p_pool, const std::vector<std::string> &p_handles) {
 	std::map<std::string, std::vector<std::string>> by_shard;
 	for (const std::string &handle : p_handles) {
-		by_shard[_take_held(p_pool, handle)].push_back(handle);
+		by_shard[_remove_used_result(p_pool, handle)].push_back(handle);
 	}
 	for (const auto &[shard, handles] : by_shard) {
 		const std::string node = _choose_node(shard);
@@ -526,11 +526,11 @@
 		_forget_after_pause();
 	}
 	_ticked_at = now;
-	_note_told(_get_view(), now);
+	_record_dispatcher_known(_get_view(), now);
 	_keep_links();
 	_assign_waiting();
-	for (auto &[name, held] : _held) {
-		_tell_held(name, held);
+	for (auto &[name, held] : _used_results) {
+		_report_used_results(name, held);
 	}
 	_release_of_lost();
 	for (auto &[name, entry] : _pools) {
