--- a/main/gateway/gateway.cpp
+++ b/main/gateway/gateway.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: gateway.cpp
- * One entry node on a platform with a keyed store: makes its services and ties them together.
+ * One gateway node on a platform with a keyed store: creates its services and connects them.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -17,29 +17,31 @@
 
 constexpr duration TICK = std::chrono::milliseconds(100);
 /**
- * A node that was away for this part of the time that a change may take asks what changed before it serves: what it knows is
- * that much older than it usually is.
+ * After a process stall of at least this fraction (one divided by the constant) of the time in which a change must take effect, a
+ * node requests what changed before it serves, as its data is older by the length of the stall.
  */
-constexpr int PARTS_OF_APPLY = 2;
-/** Calls to the store take some milliseconds, and 0.2 s when it is slow; a node whose store is away goes on without. */
-constexpr duration LONGEST_CATCH_UP = std::chrono::milliseconds(300);
-/** The balancer asks once a second and needs two misses. */
-constexpr duration STOP_LISTEN = std::chrono::milliseconds(2600);
-/** A connection that the balancer sent just now is given this long for its request. */
+constexpr int APPLY_TIME_DIVISOR = 2;
+/** Maximum wait for changes after a stall. Calls to the store take some milliseconds, or 0.2 s when it is slow. If the store is
+ * unavailable, the node continues without it. */
+constexpr duration MAX_CATCH_UP_TIME = std::chrono::milliseconds(300);
+/** Time for the balancer to notice a stop: it checks readiness once a second and needs two failures. */
+constexpr duration STOP_NOTICE_TIME = std::chrono::milliseconds(2600);
+/** Time that a connection just opened by the balancer has to send its request. */
 constexpr duration FIRST_REQUEST_TIME = std::chrono::milliseconds(300);
-/** Part of the grace kept for requests taken last; most take less. */
+/** Part of the grace period reserved for the requests accepted last. Most requests take less. */
 constexpr duration FINISH_TIME = std::chrono::milliseconds(3500);
-/** Part of the grace kept for ending in good order. */
+/** Part of the grace period reserved for an orderly exit. */
 constexpr duration STOP_MARGIN = std::chrono::milliseconds(300);
-/** Before that, for final answers to reach their callers. */
+/** Time before STOP_MARGIN in which final answers reach their callers. */
 constexpr duration ANSWER_TIME = std::chrono::milliseconds(250);
 constexpr duration SETTLE_INTERVAL = std::chrono::milliseconds(20);
-/** All nodes may start within a third of a second of each other, and a link that failed is tried again after a quarter. */
+/** Maximum time to learn of the fleet after a start. All nodes may start within a third of a second of each other, and a failed link is
+ * retried after a quarter of a second. */
 constexpr duration SETTLE_TIME = std::chrono::milliseconds(700);
-/** Of the VM's memory, for what callers have not taken yet. */
-constexpr double PART_FOR_SLOW_READERS = 0.25;
+/** Fraction of the VM's memory for data that callers have not read yet. */
+constexpr double SLOW_READER_MEMORY_FRACTION = 0.25;
 constexpr duration RETRY_AFTER = std::chrono::milliseconds(500);
-/** The balancer knows by then that this node stops, so a caller that returns meets another one. */
+/** By then the balancer knows that this node is stopping, so a caller that retries reaches another one. */
 constexpr duration STOP_RETRY_AFTER = std::chrono::milliseconds(100);
 
 caller_server_limits get_limits(const gateway_limits &p_limits) {
@@ -58,7 +60,7 @@
 		_configuration(_context),
 		_endpoints(_context),
 		_evacuations(_context, _configuration),
-		_commitments_told(_commitments),
+		_commitment_sync(_commitments),
 		_fleet(_context, _configuration, _endpoints, _evacuations),
 		_rollouts(_context, _configuration, _endpoints, _fleet),
 		_guard(_context, _configuration, _fleet, _endpoints, _rollouts),
@@ -68,7 +70,7 @@
 		_engine_caches(p_settings.mechanisms),
 		_prompts(_context, _fleet, _engine_caches),
 		_crashes(_context, _fleet, _endpoints),
-		_shared{ _context, _fleet, _endpoints, _dispatcher, _services, _engines, _repeats, _usual_times, _commitments, _engine_caches, _prompts, _crashes, _first_event_times, _guard },
+		_shared{ _context, _fleet, _endpoints, _dispatcher, _services, _engines, _repeats, _typical_times, _commitments, _engine_caches, _prompts, _crashes, _first_event_times, _guard },
 		_admission(_context, _shared, _evacuations),
 		_callers(p_loop, p_settings.caller_address, caller_server_limits(), [this](const std::shared_ptr<caller_exchange> &p_exchange) { _on_exchange(p_exchange); }),
 		_readiness(p_loop, p_settings.readiness_address, caller_server_limits(), [this](const std::shared_ptr<caller_exchange> &p_exchange) { _on_readiness(*p_exchange); }),
@@ -78,13 +80,13 @@
 	if (p_settings.metrics_address) {
 		_metrics_server = std::make_unique<caller_server>(p_loop, *p_settings.metrics_address, caller_server_limits(), [this](const std::shared_ptr<caller_exchange> &p_exchange) { _on_metrics(*p_exchange); });
 	}
-	_fleet.add_part(_commitments_told.make_part());
-	_commitments_told.set_capacity_source([this] { return _dispatcher.get_capacities(); });
-	_callers.set_write_budget(static_cast<std::size_t>(p_settings.memory_bytes * PART_FOR_SLOW_READERS));
+	_fleet.add_part(_commitment_sync.make_part());
+	_commitment_sync.set_capacity_source([this] { return _dispatcher.get_capacities(); });
+	_callers.set_write_budget(static_cast<std::size_t>(p_settings.memory_bytes * SLOW_READER_MEMORY_FRACTION));
 	_callers.set_on_slow_reader([this](const slow_reader &p_reader) { _on_slow_reader(p_reader); });
-	_callers.set_on_crossed([this](const crossed_end &p_crossed) { _on_crossed(p_crossed); });
+	_callers.set_on_crossed([this](const crossed_end &p_crossed) { _on_post_close_input(p_crossed); });
 	_dispatcher.set_on_run_lost([this](const lost_run &p_run) { _crashes.on_run_lost(p_run); });
-	_held_up = _context.loop.held_up().connect([this](const hold_up &p_hold_up) { _on_held_up(p_hold_up); });
+	_stall_connection = _context.loop.held_up().connect([this](const hold_up &p_hold_up) { _on_stall(p_hold_up); });
 	_fleet.reach_changed().connect([this](const std::set<std::string> &p_zones) { _on_reach_changed(p_zones); });
 	_configuration.changed().connect([this] { _on_configuration(); });
 	_endpoints.changed().connect([this] { _on_endpoints(); });
@@ -102,7 +104,7 @@
 }
 
 gateway::~gateway() {
-	_held_up.disconnect();
+	_stall_connection.disconnect();
 }
 
 void gateway::start() {
@@ -126,32 +128,32 @@
 void gateway::_settle() {
 	_update_readiness();
 	if (!_settled) {
-		// A node that begins alone would take the pools for its own and admit as much as all nodes together may.
+		// A node that starts without knowing the fleet would dispatch all pools itself and admit as much as all nodes together may.
 		const bool knows_fleet = _fleet.knows_fleet();
 		_settled = knows_fleet || !_context.settings.mechanisms.has(mechanism::HOLD_AT_START) || event_loop::now() - _started_at > SETTLE_TIME;
 		if (_settled) {
 			_context.log.write(log_line("settled").add("by", knows_fleet ? "knowledge" : "time").add("is_hub", _fleet.is_hub() ? "yes" : "no").add("live_nodes", static_cast<long long>(_fleet.get_live_count())).add("waiting", static_cast<long long>(_waiting.size())));
 		}
 	}
-	_take_waiting();
+	_process_waiting();
 	if (!_settled || !_waiting.empty()) {
 		_settle_timer.set(SETTLE_INTERVAL);
 	}
 }
 
 bool gateway::_must_wait(const gateway_route &p_route) const {
-	// A node that did not hear of a request that ends endpoints would send it on.
+	// Without the other nodes' crash records, this node would send a request that crashes endpoints.
 	return (!_settled && !p_route.stages.empty()) || !_crashes.is_told();
 }
 
-void gateway::_hold(const std::shared_ptr<caller_exchange> &p_exchange) {
+void gateway::_defer(const std::shared_ptr<caller_exchange> &p_exchange) {
 	if (_waiting.empty()) {
 		_settle_timer.set(SETTLE_INTERVAL);
 	}
 	_waiting.push_back(p_exchange);
 }
 
-void gateway::_take_waiting() {
+void gateway::_process_waiting() {
 	std::vector<std::shared_ptr<caller_exchange>> waiting;
 	waiting.swap(_waiting);
 	for (const std::shared_ptr<caller_exchange> &exchange : waiting) {
@@ -198,7 +200,7 @@
 	_dispatcher.set_endpoints(listings);
 	const std::vector<endpoint_identity> engines_replaced = _note_changes(_engines);
 	const std::vector<endpoint_identity> others_replaced = _note_changes(_services);
-	// Requests that end here go on elsewhere, so all lists must be in force by then.
+	// Runs that are ended here are continued at other endpoints, so all lists must be set before.
 	_end_replaced(engines_replaced, _engines);
 	_end_replaced(others_replaced, _services);
 	_end_superseded();
@@ -271,7 +273,7 @@
 void gateway::_on_exchange(const std::shared_ptr<caller_exchange> &p_exchange) {
 	const activity_scope scope(_context.loop, activity::CALLERS);
 	if (_is_catching_up()) {
-		_hold(p_exchange);
+		_defer(p_exchange);
 		return;
 	}
 	admitted_request request;
@@ -300,7 +302,7 @@
 		return;
 	}
 	if (_must_wait(*request.route)) {
-		_hold(p_exchange);
+		_defer(p_exchange);
 		return;
 	}
 	if (_refuse_if(_admission.judge_content(request), request)) {
@@ -348,7 +350,7 @@
 		if (found == _requests.end()) {
 			return;
 		}
-		// Freed from the loop, as this runs inside the request.
+		// Destroyed later from the loop, as this hook is called by the request itself.
 		std::shared_ptr<gateway_request> ended = std::move(found->second);
 		_requests.erase(found);
 		_context.loop.post([ended] {});
@@ -363,7 +365,7 @@
 	_context.log.write(log_line("slow_reader_ended").add("untaken_bytes", static_cast<long long>(p_reader.untaken)).add("since_ms", p_reader.since).add("held_bytes", static_cast<long long>(p_reader.held)));
 }
 
-void gateway::_on_crossed(const crossed_end &p_crossed) {
+void gateway::_on_post_close_input(const crossed_end &p_crossed) {
 	_context.metrics.count("bytes_crossed_end");
 	_context.log.write_request(log_line("bytes_crossed_end").add("end", get_name(p_crossed.end)).add("since_end_ms", p_crossed.since_end).add("rested_ms", p_crossed.rested).add("bytes", static_cast<long long>(p_crossed.bytes)).add("read", p_crossed.was_read ? "yes" : "no").add("idle_limit_ms", _get_idle_limit()).add("version", static_cast<long long>(_configuration.get_version())));
 }
@@ -411,23 +413,23 @@
 	}
 }
 
-void gateway::_on_held_up(const hold_up &p_hold_up) {
+void gateway::_on_stall(const hold_up &p_hold_up) {
 	_context.metrics.count("loop_held_up");
 	_context.log.write(log_line("loop_held_up").add("late_ms", p_hold_up.late).add("by", get_name(p_hold_up.cause)).add("open", static_cast<long long>(_requests.size())).add("version", static_cast<long long>(_configuration.get_version())));
 	_fleet.on_held_up(p_hold_up.late);
-	if (p_hold_up.late * PARTS_OF_APPLY < _context.settings.configuration_apply || !_configuration.get_current()) {
+	if (p_hold_up.late * APPLY_TIME_DIVISOR < _context.settings.configuration_apply || !_configuration.get_current()) {
 		return;
 	}
-	_away_until = event_loop::now();
+	_stalled_until = event_loop::now();
 	_configuration.catch_up();
 	_endpoints.catch_up();
 }
 
 bool gateway::_is_catching_up() const {
-	if (_away_until == instant{} || event_loop::now() - _away_until > LONGEST_CATCH_UP) {
+	if (_stalled_until == instant{} || event_loop::now() - _stalled_until > MAX_CATCH_UP_TIME) {
 		return false;
 	}
-	return !_configuration.is_known_since(_away_until) || !_endpoints.is_known_since(_away_until);
+	return !_configuration.is_known_since(_stalled_until) || !_endpoints.is_known_since(_stalled_until);
 }
 
 void gateway::_tick() {
@@ -457,7 +459,7 @@
 void gateway::_advance_stop() {
 	const duration since = event_loop::now() - _stop_started;
 	const duration grace = _context.settings.stop_grace;
-	if (_phase == stop_phase::LISTENING && since >= STOP_LISTEN) {
+	if (_phase == stop_phase::LISTENING && since >= STOP_NOTICE_TIME) {
 		_enter(stop_phase::ENDING, "ending");
 	}
 	const bool is_idle = _requests.empty() && _callers.get_open_requests() == 0 && _dispatcher.get_accepted_count() == 0;
@@ -484,7 +486,7 @@
 }
 
 void gateway::_for_each_request(const std::function<void(gateway_request &)> &p_hook) {
-	// A request may end in the hook, and is not in the map then.
+	// The hook may end a request, which removes it from the map.
 	std::vector<std::uint64_t> ids;
 	ids.reserve(_requests.size());
 	for (const auto &[id, request] : _requests) {
--- a/main/gateway/gateway.h
+++ b/main/gateway/gateway.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: gateway.h
- * One entry node on a platform with a keyed store: makes its services and ties them together.
+ * One gateway node on a platform with a keyed store: creates its services and connects them.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -24,10 +24,10 @@
 class gateway {
 	enum class stop_phase {
 		NONE,
-		LISTENING, ///< Not ready any more; the balancer has time to notice.
-		ENDING, ///< Idle connections are closed; what surely ends in time is still served, as a zone with few nodes left gets it.
-		FINISHING, ///< Accepts no connections; what is in flight goes on.
-		ANSWERING, ///< The grace is nearly over: what has no answer yet gets its final one.
+		LISTENING, ///< No longer ready; the balancer is given time to notice.
+		ENDING, ///< Idle connections are closed. Requests that are certain to complete in time are still served, as a zone with few nodes left still receives them.
+		FINISHING, ///< Accepts no connections; requests in flight continue.
+		ANSWERING, ///< The grace period is nearly over: requests without an answer receive their final one.
 	};
 
 	gateway_context _context;
@@ -35,7 +35,7 @@
 	endpoint_follower _endpoints;
 	evacuation_follower _evacuations;
 	commitment_table _commitments;
-	commitment_exchange _commitments_told;
+	commitment_exchange _commitment_sync;
 	gateway_fleet _fleet;
 	rollout_service _rollouts;
 	send_guard _guard;
@@ -46,7 +46,7 @@
 	prompt_exchange _prompts;
 	crash_guard _crashes;
 	std::map<std::string, retry_window> _repeats;
-	std::map<std::string, duration> _usual_times;
+	std::map<std::string, duration> _typical_times;
 	std::map<std::string, duration> _first_event_times;
 	request_services _shared;
 	admission _admission;
@@ -57,8 +57,8 @@
 	std::unique_ptr<caller_server> _metrics_server;
 	activity_report _activities;
 	timer _tick_timer;
-	std::vector<std::shared_ptr<caller_exchange>> _waiting; ///< Came before this node knew what others do, or what changed while it was away.
-	instant _away_until{}; ///< When it was last away for longer than it may serve unasked.
+	std::vector<std::shared_ptr<caller_exchange>> _waiting; ///< Requests that arrived before this node knew the fleet, or before it knew what changed during a process stall.
+	instant _stalled_until{}; ///< End of the last process stall that was so long that changes must be requested before serving.
 	timer _settle_timer;
 	instant _started_at{};
 	bool _settled = false;
@@ -66,7 +66,7 @@
 	instant _stop_started{};
 	bool _was_ready = false;
 	bool _has_stopped = false;
-	sigc::connection _held_up; ///< The loop outlives this.
+	sigc::connection _stall_connection; ///< Disconnected on destruction, as the loop outlives this object.
 
 	bool _is_ready() const;
 	void _on_configuration();
@@ -74,29 +74,29 @@
 	void _on_evacuation(const evacuation_change &p_change);
 	std::vector<endpoint_identity> _note_changes(router &r_choices);
 	void _end_replaced(const std::vector<endpoint_identity> &p_replaced, const router &p_choices);
-	/** Ends the runs of endpoints at whose addresses others started. */
+	/** Ends the runs at endpoints whose addresses are now used by other endpoints. */
 	void _end_superseded();
 	void _on_reach_changed(const std::set<std::string> &p_zones);
 	void _on_exchange(const std::shared_ptr<caller_exchange> &p_exchange);
 	void _refuse(caller_exchange &p_exchange, int p_status, reason p_reason);
 	void _settle();
-	void _take_waiting();
+	void _process_waiting();
 	bool _must_wait(const gateway_route &p_route) const;
-	/** Keeps a request until this node may decide on it. */
-	void _hold(const std::shared_ptr<caller_exchange> &p_exchange);
+	/** Defers a request until this node may decide on it. */
+	void _defer(const std::shared_ptr<caller_exchange> &p_exchange);
 	void _update_readiness();
-	/** Once the balancer has noticed the stop: whether the request might outlast it. */
+	/** Refuses a request that might outlast the stop, once the balancer has noticed the stop. Returns whether it was refused. */
 	bool _refuse_if_stopping(const admitted_request &p_request);
-	/** Sends a refusal if there is one. */
+	/** Sends the refusal, if any. Returns whether there was one. */
 	bool _refuse_if(const std::optional<refusal> &p_refusal, const admitted_request &p_request);
 	void _run(admitted_request p_request);
 	void _on_readiness(caller_exchange &p_exchange);
 	void _on_metrics(caller_exchange &p_exchange);
-	void _on_held_up(const hold_up &p_hold_up);
+	void _on_stall(const hold_up &p_hold_up);
 	bool _is_catching_up() const;
 	duration _get_idle_limit() const;
 	void _on_slow_reader(const slow_reader &p_reader);
-	void _on_crossed(const crossed_end &p_crossed);
+	void _on_post_close_input(const crossed_end &p_crossed);
 	void _tick();
 	void _enter(stop_phase p_phase, const char *p_name);
 	void _advance_stop();
@@ -105,44 +105,43 @@
 
 public:
 	/**
-	 * Opens all ports at once.
-	 * @throws std::runtime_error when one cannot be bound.
+	 * Opens all ports.
+	 * @throws std::runtime_error if a port cannot be bound.
 	 */
 	gateway(event_loop &p_loop, const gateway_settings &p_settings);
 	~gateway();
 	gateway(const gateway &) = delete;
 	gateway &operator=(const gateway &) = delete;
 
-	/** Begins to work. */
 	void start();
 
-	/** Begins a planned stop; the loop is stopped when it is done. A second call does nothing. */
+	/** Begins a planned stop, at the end of which the loop is stopped. A second call does nothing. */
 	void stop();
 
-	/** Whether a planned stop is over and the loop was stopped for it. */
+	/** Whether a planned stop has completed and stopped the loop. */
 	bool has_stopped() const { return _has_stopped; }
 
-	/** Tells what a reading of the settings file brought. */
+	/** Logs the outcome of reloading the settings file. */
 	void note_reload(const std::string &p_outcome);
 
-	/** Stage work of other nodes, and of this one, that this node dispatches now. */
+	/** Number of works, of this and other nodes, that this node currently dispatches. */
 	std::size_t get_handed_work() const { return _dispatcher.get_accepted_count(); }
 
-	/** Whether it takes requests, as its readiness address tells. */
+	/** Whether the node accepts requests, as reported at its readiness address. */
 	bool is_ready() const { return _is_ready(); }
 
-	/** Bytes that it sent to other nodes, by kind of message. */
+	/** Bytes sent to other nodes, by kind of message. */
 	const std::map<std::string_view, std::uint64_t> &get_link_bytes() const { return _fleet.get_link().get_bytes_by_kind(); }
 
-	/** Nodes that this one heard just now, itself included. */
+	/** Number of live nodes known to this node, including itself. */
 	std::size_t get_live_count() const { return _fleet.get_live_count(); }
 
-	/** Nodes that this one has a link to. */
+	/** Number of nodes to which this node has a link. */
 	std::size_t get_link_count() { return _fleet.get_link().get_linked().size(); }
 
 	const network_address &get_caller_address() const { return _callers.get_address(); }
 	const network_address &get_readiness_address() const { return _readiness.get_address(); }
-	/** Only with an address for metrics in its settings. */
+	/** May be called only if the settings contain an address for metrics. */
 	const network_address &get_metrics_address() const { return _metrics_server->get_address(); }
 	const network_address &get_link_address() { return _fleet.get_link().get_address(); }
 };
--- a/main/gateway/gateway_fleet.cpp
+++ b/main/gateway/gateway_fleet.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: gateway_fleet.cpp
- * This gateway among the others: links, heartbeats, configuration and leaving endpoints.
+ * This node's view of the other gateway nodes: links, heartbeats, configuration and leaving endpoints.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -16,18 +16,18 @@
 
 namespace {
 
-/** A cut-off zone is noticed within this after its silence is long enough. */
+/** Interval of liveness checks. An unreachable zone is detected at most this long after its silence reaches the limit. */
 constexpr duration WATCH_INTERVAL = std::chrono::milliseconds(50);
-/** A node that restarts is back in about a second; others should not wait much longer to reach it. */
-constexpr duration LONGEST_BACK_OFF = std::chrono::milliseconds(1000);
-/** Hubs repeat some of what they know of others each so many beats, so that nodes without a link to each other do not forget. */
-constexpr int BEATS_PER_RUMOUR = 5;
-/** A node that becomes a hub, also one that starts, hears of the others and links to them within this. */
-constexpr duration MEETING_TIME = std::chrono::milliseconds(300);
-/** A link that work needed is kept longer than results live, as the release of a node's results goes over it. */
-constexpr duration KEPT_TIME = std::chrono::seconds(15);
-/** Names in a line of the log. */
-constexpr std::size_t MOST_LOGGED_NODES = 24;
+/** Maximum pause between attempts to connect. A node restarts in about a second, and peers should reach it soon afterwards. */
+constexpr duration MAX_BACK_OFF = std::chrono::milliseconds(1000);
+/** Heartbeats between two relays of digests by a hub. Without them, nodes that have no link to each other would forget each other. */
+constexpr int HEARTBEATS_PER_RELAY = 5;
+/** Time in which a new hub, which may be a node that has just started, learns of the other hubs and links to them. */
+constexpr duration HUB_DISCOVERY_TIME = std::chrono::milliseconds(300);
+/** Time for which a link is kept after stage work used it. Longer than the lifetime of results, as their release is sent over it. */
+constexpr duration WORK_LINK_LIFETIME = std::chrono::seconds(15);
+/** Maximum number of node names in a log line. */
+constexpr std::size_t MAX_LOGGED_NODES = 24;
 
 bool contains(const std::vector<std::string> &p_names, const std::string &p_name) {
 	return std::find(p_names.begin(), p_names.end(), p_name) != p_names.end();
@@ -35,7 +35,7 @@
 
 std::string join(const std::vector<std::string> &p_names) {
 	std::string text;
-	for (std::size_t i = 0; i < std::min(p_names.size(), MOST_LOGGED_NODES); i++) {
+	for (std::size_t i = 0; i < std::min(p_names.size(), MAX_LOGGED_NODES); i++) {
 		text += (text.empty() ? "" : ",") + p_names[i];
 	}
 	return text;
@@ -48,23 +48,23 @@
 		_configuration(p_configuration),
 		_endpoints(p_endpoints),
 		_evacuations(p_evacuations),
-		_link(p_context.loop, p_context.settings.link_address, link_identity{ p_context.settings.vm, p_context.incarnation, p_context.settings.fleet_key, LONGEST_BACK_OFF, p_context.settings.mechanisms.has(mechanism::ASKED_LISTS) }),
+		_link(p_context.loop, p_context.settings.link_address, link_identity{ p_context.settings.vm, p_context.incarnation, p_context.settings.fleet_key, MAX_BACK_OFF, p_context.settings.mechanisms.has(mechanism::ASKED_LISTS) }),
 		_members(member_digest{ p_context.settings.vm, p_context.incarnation, 0, p_context.settings.zone, p_context.settings.region, _link.get_address(), network_address(), false, false, 0, {}, p_context.settings.cores }),
 		_overlay(p_context.settings.vm, p_context.settings.zone),
-		_store(p_context, p_configuration, p_endpoints, _link, store_sharing_hooks{ [this](const std::string &p_vm) { return is_heard(p_vm); }, [this](const std::string &p_vm) { return _is_in_own_zone(p_vm); }, [this] { _collect_news(); } }),
+		_store(p_context, p_configuration, p_endpoints, _link, store_sharing_hooks{ [this](const std::string &p_vm) { return is_heard(p_vm); }, [this](const std::string &p_vm) { return _is_in_own_zone(p_vm); }, [this] { _collect_updates(); } }),
 		_help(p_configuration, p_endpoints, _link, p_context.settings.link_bytes),
-		_beat_timer(p_context.loop, [this] { _beat(); }),
+		_heartbeat_timer(p_context.loop, [this] { _send_due_heartbeats(); }),
 		_watch_timer(p_context.loop, [this] { _watch(); }) {
 	_link.heartbeat_received().connect([this](const std::string &p_vm, const heartbeat_message &p_message) { _on_heartbeat(p_vm, p_message); });
 	_link.link_up().connect([this](const std::string &p_vm) { _on_link_up(p_vm); });
 	_link.link_down().connect([this](const std::string &p_vm) { _on_link_down(p_vm); });
-	_link.endpoints_declined().connect([this](const std::string &) { _ask_for_list(); });
+	_link.endpoints_declined().connect([this](const std::string &) { _request_list(); });
 	_configuration.changed().connect([this] { _send_heartbeats(beat_scope::CLOSE); });
 	_evacuations.changed().connect([this](const evacuation_change &) { _send_heartbeats(beat_scope::CLOSE); });
 }
 
 void gateway_fleet::start() {
-	_beat();
+	_send_due_heartbeats();
 	_watch();
 }
 
@@ -86,33 +86,33 @@
 	}
 	_context.zones.check(event_loop::now());
 	if (_knows_hubs) {
-		_set_unreached_zones(_context.zones.get_unreached());
+		_set_unreachable_zones(_context.zones.get_unreached());
 	}
 }
 
-void gateway_fleet::_set_unreached_zones(std::set<std::string> p_zones) {
-	if (p_zones == _unreached_zones) {
+void gateway_fleet::_set_unreachable_zones(std::set<std::string> p_zones) {
+	if (p_zones == _unreachable_zones) {
 		return;
 	}
 	for (const std::string &zone : p_zones) {
-		if (!_unreached_zones.contains(zone)) {
+		if (!_unreachable_zones.contains(zone)) {
 			_context.log.write(log_line("zone_cut_off").add("zone", zone).add("source", _knows_hubs ? "this node" : "peer/" + _store.get_reader()));
 		}
 	}
-	for (const std::string &zone : _unreached_zones) {
+	for (const std::string &zone : _unreachable_zones) {
 		if (!p_zones.contains(zone)) {
 			_context.log.write(log_line("zone_reached").add("zone", zone).add("source", _knows_hubs ? "this node" : "peer/" + _store.get_reader()));
 		}
 	}
-	_unreached_zones = std::move(p_zones);
+	_unreachable_zones = std::move(p_zones);
 	if (_plan.is_hub) {
 		_send_heartbeats(beat_scope::CLOSE);
 	}
 	_note_changes();
-	_reach_changed.emit(_unreached_zones);
+	_reach_changed.emit(_unreachable_zones);
 }
 
-bool gateway_fleet::_is_heard(const std::string &p_vm, instant p_now) const {
+bool gateway_fleet::_is_responsive(const std::string &p_vm, instant p_now) const {
 	if (!_contacts.is_heard(p_vm, p_now) || !_link.is_linked(p_vm) || _told.is_lost(p_vm)) {
 		return false;
 	}
@@ -120,8 +120,8 @@
 	if (peer == nullptr || !_context.settings.mechanisms.has(mechanism::ZONE_SILENCE)) {
 		return true;
 	}
-	// A node that is no hub hears too little of other zones to judge their silence, and so does one that has just become one.
-	return _knows_hubs ? _context.zones.is_reached(peer->digest.zone, p_now) : !_unreached_zones.contains(peer->digest.zone);
+	// Only an established hub receives enough from other zones to judge their silence.
+	return _knows_hubs ? _context.zones.is_reached(peer->digest.zone, p_now) : !_unreachable_zones.contains(peer->digest.zone);
 }
 
 std::vector<std::string> gateway_fleet::get_live_nodes() const {
@@ -131,7 +131,7 @@
 		nodes.push_back(get_vm());
 	}
 	for (const auto &[vm, entry] : _members.get_members()) {
-		if (!entry.digest.leaving && _is_heard(vm, now)) {
+		if (!entry.digest.leaving && _is_responsive(vm, now)) {
 			nodes.push_back(vm);
 		}
 	}
@@ -154,7 +154,7 @@
 			if (_ready && !_leaving) {
 				nodes.push_back(overlay_node{ vm, _context.settings.zone, _context.settings.cores });
 			}
-		} else if (peer != nullptr && peer->digest.ready && !peer->digest.leaving && _is_heard(vm, now)) {
+		} else if (peer != nullptr && peer->digest.ready && !peer->digest.leaving && _is_responsive(vm, now)) {
 			nodes.push_back(overlay_node{ vm, peer->digest.zone, peer->digest.cores });
 		}
 	}
@@ -178,7 +178,7 @@
 	std::vector<std::string> nodes = _told.get_dispatchers();
 	std::erase_if(nodes, [this, now](const std::string &p_vm) {
 		const member *peer = _members.find(p_vm);
-		const bool is_silent = (_link.is_linked(p_vm) || _told.is_down(p_vm, now)) && !_is_heard(p_vm, now);
+		const bool is_silent = (_link.is_linked(p_vm) || _told.is_down(p_vm, now)) && !_is_responsive(p_vm, now);
 		return is_silent || _told.is_lost(p_vm) || (peer != nullptr && peer->digest.leaving);
 	});
 	return nodes;
@@ -191,7 +191,7 @@
 	const instant now = event_loop::now();
 	std::size_t heard = 0;
 	for (const auto &[vm, entry] : _members.get_members()) {
-		if (entry.digest.leaving || !_is_heard(vm, now)) {
+		if (entry.digest.leaving || !_is_responsive(vm, now)) {
 			continue;
 		}
 		if (!entry.digest.ready) {
@@ -206,7 +206,7 @@
 	const instant now = event_loop::now();
 	std::uint32_t count = _leaving ? 0 : 1;
 	for (const auto &[vm, entry] : _members.get_members()) {
-		count += entry.digest.zone == _context.settings.zone && !entry.digest.leaving && _is_heard(vm, now) ? 1 : 0;
+		count += entry.digest.zone == _context.settings.zone && !entry.digest.leaving && _is_responsive(vm, now) ? 1 : 0;
 	}
 	return count;
 }
@@ -216,7 +216,7 @@
 	std::map<std::string, std::uint32_t> by_zone{ { _context.settings.zone, _count_zone() } };
 	for (const auto &[vm, count] : _zone_nodes) {
 		const member *hub = _members.find(vm);
-		if (hub != nullptr && _is_heard(vm, now)) {
+		if (hub != nullptr && _is_responsive(vm, now)) {
 			std::uint32_t &zone_count = by_zone[hub->digest.zone];
 			zone_count = std::max(zone_count, count);
 		}
@@ -247,7 +247,7 @@
 }
 
 void gateway_fleet::keep_link(const std::string &p_vm) {
-	_kept_until[p_vm] = event_loop::now() + KEPT_TIME;
+	_kept_until[p_vm] = event_loop::now() + WORK_LINK_LIFETIME;
 	const member *peer = _members.find(p_vm);
 	if (peer != nullptr && !_link.is_linked(p_vm)) {
 		_link.dial(p_vm, peer->digest.link);
@@ -265,7 +265,7 @@
 	return hubs;
 }
 
-void gateway_fleet::_beat() {
+void gateway_fleet::_send_due_heartbeats() {
 	const activity_scope scope(_context.loop, activity::HEARTBEATS_SENT);
 	const instant now = event_loop::now();
 	_members.tick(now);
@@ -273,16 +273,16 @@
 	_plan_links();
 	_store.use_names(_plan.is_hub);
 	_endpoints.drop_told();
-	_collect_news();
+	_collect_updates();
 	_send_heartbeats(beat_scope::DUE);
 	_note_changes();
-	_ask_for_list();
-	_beat_timer.set(peer_contacts::get_interval(true));
+	_request_list();
+	_heartbeat_timer.set(peer_contacts::get_interval(true));
 }
 
 void gateway_fleet::_plan_links() {
 	const instant now = event_loop::now();
-	// A hub that stops is one to the end, as others still wait for what it has.
+	// A stopping hub remains a hub until it exits, as other nodes still wait for its data.
 	std::vector<overlay_node> nodes{ overlay_node{ get_vm(), _context.settings.zone, _context.settings.cores } };
 	for (const auto &[vm, entry] : _members.get_members()) {
 		if (entry.state != member_state::GONE && entry.digest.link.port != 0 && !entry.digest.leaving) {
@@ -292,14 +292,14 @@
 	const bool was_hub = _plan.is_hub;
 	const bool has_followers = !_contacts.get_followers(now).empty();
 	_plan = _overlay.plan(
-			nodes, [this, now](const std::string &p_vm) { return _is_heard(p_vm, now); }, has_followers, now);
+			nodes, [this, now](const std::string &p_vm) { return _is_responsive(p_vm, now); }, has_followers, now);
 	if (_plan.is_hub != was_hub) {
 		_hub_since = now;
 		_knows_hubs = false;
 		_members.set_hub(_plan.is_hub);
 		_context.log.write(log_line("hub").add("zone", _context.settings.zone).add("is_hub", _plan.is_hub ? "yes" : "no").add("known", static_cast<long long>(nodes.size())).add("links", static_cast<long long>(_link.get_linked().size())));
 	}
-	if (_plan.is_hub && !_knows_hubs && _plan.is_settled && now - _hub_since >= MEETING_TIME) {
+	if (_plan.is_hub && !_knows_hubs && _plan.is_settled && now - _hub_since >= HUB_DISCOVERY_TIME) {
 		_knows_hubs = true;
 		_context.log.write(log_line("hubs_known").add("zone", _context.settings.zone).add("known", static_cast<long long>(nodes.size())).add("links", static_cast<long long>(_link.get_linked().size())).add("hubs", join(_plan.hubs)));
 		for (const beat_part &part : _parts) {
@@ -319,7 +319,7 @@
 
 void gateway_fleet::_dial() {
 	if (_link.get_linked().empty() && !_context.settings.peers.empty()) {
-		// One at a time, so that a fleet that starts does not ask all of its seeds at once.
+		// Dials one seed at a time, so that a starting fleet does not connect to all of its seeds at once.
 		const network_address &seed = _context.settings.peers[_next_seed++ % _context.settings.peers.size()];
 		if (!(seed == _link.get_address()) && _link.dial_unnamed(seed)) {
 			_context.log.write(log_line("seed_dialled").add("seed", to_string(seed)));
@@ -332,7 +332,7 @@
 	}
 }
 
-void gateway_fleet::_ask_for_list() {
+void gateway_fleet::_request_list() {
 	if (!_help.needs_list() || !_context.settings.mechanisms.has(mechanism::ASKED_LISTS)) {
 		return;
 	}
@@ -351,7 +351,7 @@
 	return peer == nullptr ? p_vm == get_vm() : peer->digest.zone == _context.settings.zone;
 }
 
-void gateway_fleet::_collect_news() {
+void gateway_fleet::_collect_updates() {
 	const instant now = event_loop::now();
 	for (const endpoint_identity &endpoint : _endpoints.get_directory().take_news()) {
 		_contacts.add_news(endpoint_news{ endpoint, false }, now);
@@ -398,14 +398,15 @@
 		part.write(beat_peer::HUB, sender, texts.to_hub);
 		part.write(beat_peer::FOLLOWER, sender, texts.to_follower);
 	}
-	// A hub that has just started hears some of the others only; told of these, its followers took the rest for lost.
+	// A hub that has just started has contact with only some of the others. If it reported just these, its followers would assume that
+	// the others had failed.
 	if (!_knows_hubs) {
 		return texts;
 	}
 	texts.to_follower.is_total = true;
 	texts.to_follower.fleet_nodes = _count_fleet();
 	texts.to_follower.dispatchers = _find_dispatchers();
-	texts.to_follower.unreached_zones.assign(_unreached_zones.begin(), _unreached_zones.end());
+	texts.to_follower.unreached_zones.assign(_unreachable_zones.begin(), _unreachable_zones.end());
 	return texts;
 }
 
@@ -414,7 +415,7 @@
 	if (peer == nullptr) {
 		return;
 	}
-	// A node needs to know those that may become hubs of its own zone, and the hubs of others, whose dispatchers it works with.
+	// A node needs to know the possible hubs of its own zone, and the hubs of other zones, whose dispatchers it works with.
 	const auto is_of_use = [this, peer](const std::string &p_other) {
 		const member *other = _members.find(p_other);
 		return other != nullptr && (peer->digest.hub || other->digest.hub || other->digest.zone == peer->digest.zone);
@@ -438,7 +439,7 @@
 		}
 	}
 	message.relies_on_you = p_role.is_relied_on;
-	// Until a hub is heard, any link may be the one that tells of it.
+	// Until a hub is responsive, any link may be the one that reports it.
 	message.wants_link = p_role.is_relied_on || contains(_plan.wanted, p_vm) || _kept_until.contains(p_vm) || _is_starting;
 	message.next_in = peer_contacts::get_interval(p_role.is_close);
 	_add_members(p_vm, p_texts, message);
@@ -456,7 +457,7 @@
 
 void gateway_fleet::_send_heartbeats(beat_scope p_scope) {
 	const instant now = event_loop::now();
-	const bool has_rumours = p_scope == beat_scope::DUE && _beats++ % BEATS_PER_RUMOUR == 0;
+	const bool has_rumours = p_scope == beat_scope::DUE && _heartbeat_count++ % HEARTBEATS_PER_RELAY == 0;
 	const beat_texts texts = _make_texts(has_rumours);
 	for (const std::string &vm : _link.get_linked()) {
 		const peer_role role = _get_role(vm, now);
@@ -480,7 +481,7 @@
 
 void gateway_fleet::_on_link_down(const std::string &p_vm) {
 	_told.on_link_down(p_vm, event_loop::now());
-	_set_lost(p_vm, peer_loss::LINK_BROKEN);
+	_set_failed(p_vm, peer_loss::LINK_BROKEN);
 	if (p_vm == get_relied_on() || _plan.is_hub) {
 		_plan_links();
 	}
@@ -494,7 +495,7 @@
 	}
 }
 
-void gateway_fleet::_set_lost(const std::string &p_vm, peer_loss p_cause) {
+void gateway_fleet::_set_failed(const std::string &p_vm, peer_loss p_cause) {
 	bool &was_live = _was_live[p_vm];
 	if (!was_live) {
 		return;
@@ -517,11 +518,12 @@
 void gateway_fleet::_note_changes() {
 	const instant now = event_loop::now();
 	for (const auto &[vm, entry] : _members.get_members()) {
-		// A node that stops still ends what was handed to it, and waits for what it handed over: it is lost when it is silent.
-		if (_is_heard(vm, now)) {
+		// A stopping node still completes work assigned to it and waits for work that it assigned, so it counts as failed only once it
+		// is silent.
+		if (_is_responsive(vm, now)) {
 			_set_live(vm);
 		} else {
-			_set_lost(vm, peer_loss::SILENT);
+			_set_failed(vm, peer_loss::SILENT);
 		}
 	}
 	for (const std::string &vm : _contacts.get_dead(now)) {
@@ -532,7 +534,7 @@
 	_members.take_changes();
 }
 
-void gateway_fleet::_take_members(const heartbeat_message &p_message) {
+void gateway_fleet::_merge_members(const heartbeat_message &p_message) {
 	const std::size_t known = _members.get_members().size();
 	std::map<std::string, bool> were_hubs;
 	for (const member_digest &digest : p_message.digests) {
@@ -556,7 +558,7 @@
 	}
 }
 
-void gateway_fleet::_take_endpoint_news(const std::string &p_vm, const heartbeat_message &p_message) {
+void gateway_fleet::_apply_endpoint_updates(const std::string &p_vm, const heartbeat_message &p_message) {
 	for (const leaving_mark &mark : p_message.marks) {
 		_endpoints.mark_leaving(endpoint_identity{ mark.vm, mark.incarnation }, "peer/" + p_vm);
 	}
@@ -565,7 +567,7 @@
 	}
 }
 
-void gateway_fleet::_take_fleet_state(const std::string &p_vm, const heartbeat_message &p_message) {
+void gateway_fleet::_apply_fleet_state(const std::string &p_vm, const heartbeat_message &p_message) {
 	if (p_message.zone_nodes > 0) {
 		_zone_nodes[p_vm] = p_message.zone_nodes;
 	}
@@ -575,10 +577,10 @@
 	for (const std::string &vm : _told.take(p_message.dispatchers, p_message.fleet_nodes)) {
 		if (vm != get_vm() && !_is_leaving(vm) && !p_message.dispatchers.empty()) {
 			_told.set_lost(vm);
-			_set_lost(vm, peer_loss::TOLD_BY_HUB);
+			_set_failed(vm, peer_loss::TOLD_BY_HUB);
 		}
 	}
-	_set_unreached_zones(std::set<std::string>(p_message.unreached_zones.begin(), p_message.unreached_zones.end()));
+	_set_unreachable_zones(std::set<std::string>(p_message.unreached_zones.begin(), p_message.unreached_zones.end()));
 }
 
 void gateway_fleet::_on_heartbeat(const std::string &p_vm, const heartbeat_message &p_message) {
@@ -586,24 +588,24 @@
 	_contacts.on_heard(p_vm, p_message.next_in, now);
 	_contacts.on_needs(p_vm, p_message.wants_link, p_message.relies_on_you, now);
 	_told.on_heard(p_vm);
-	_take_members(p_message);
+	_merge_members(p_message);
 	if (!_plan.is_hub && p_message.relies_on_you) {
 		_plan_links();
 	}
 	_evacuations.offer(p_message.evacuations, p_vm);
-	_take_endpoint_news(p_vm, p_message);
+	_apply_endpoint_updates(p_vm, p_message);
 	const member *known = _members.find(p_vm);
 	for (const beat_part &part : _parts) {
 		part.read(beat_source{ p_vm, _plan.is_hub && known != nullptr && known->digest.hub, p_vm == get_relied_on() }, p_message);
 	}
-	_take_fleet_state(p_vm, p_message);
+	_apply_fleet_state(p_vm, p_message);
 	const member *peer = _members.find(p_vm);
 	_store.on_heartbeat(p_vm, p_message, peer == nullptr ? 0 : peer->digest.configuration_version);
 	if (_greeted.insert(p_vm).second) {
-		// Its zone is known only now, and so what it needs to know.
+		// The peer's zone, which decides what the peer needs to know, is known only now.
 		_send_heartbeat(p_vm, _get_role(p_vm, now), _make_texts(true));
 	}
-	_ask_for_list();
+	_request_list();
 	if (peer != nullptr) {
 		_context.zones.on_node_heard(peer->digest.zone, now);
 		if (_plan.is_hub || _is_starting) {
--- a/main/gateway/pool_caller.cpp
+++ b/main/gateway/pool_caller.cpp
@@ -22,15 +22,15 @@
 
 namespace {
 
-/** Pieces wait for it, so that a replica behind a cut must not hold them for long. */
+/** Short, as items wait for the connection, and an unreachable replica must not delay them for long. */
 constexpr duration CONNECT_TIMEOUT = std::chrono::milliseconds(120);
-/** A result takes some hundred bytes of an answer. */
-constexpr std::size_t LARGEST_ANSWER = 4UL * 1024 * 1024;
-/** Requests that a call's line names; a line stays within about a kilobyte so. */
-constexpr std::size_t MOST_LOGGED_REQUESTS = 32;
-constexpr duration REPLICA_IDLE = std::chrono::milliseconds(3000);
-/** A release goes before calls to a limited replica once it has waited so long; results live for some seconds. */
-constexpr duration RELEASE_PATIENCE = std::chrono::milliseconds(1500);
+/** Maximum size of an answer in bytes. A result takes some hundred bytes of it. */
+constexpr std::size_t MAX_ANSWER_BYTES = 4UL * 1024 * 1024;
+/** Maximum number of requests named in the log line of a call, which keeps the line within about a kilobyte. */
+constexpr std::size_t MAX_LOGGED_REQUESTS = 32;
+constexpr duration MAX_REPLICA_IDLE_TIME = std::chrono::milliseconds(3000);
+/** Waiting time after which a release to a limited replica takes precedence over calls. Results expire after some seconds. */
+constexpr duration MAX_RELEASE_DELAY = std::chrono::milliseconds(1500);
 
 call_end get_call_end(channel_end p_end, int p_status, bool p_did_not_run) {
 	if (p_end == channel_end::CONNECT_FAILED) {
@@ -45,18 +45,18 @@
 	return p_status == http_status::OK ? call_end::ANSWERED : call_end::BROKEN;
 }
 
-/** Ids of the requests that share a call, so that each can be found by its own. */
+/** Lists the ids of the requests that share a call, so that each request can be found in the log by its id. */
 std::string list_attempts(const std::vector<stage_call_item> &p_items) {
 	std::string list;
 	std::size_t count = 0;
 	const std::string *last = nullptr;
 	for (const stage_call_item &item : p_items) {
-		// Pieces of one request stand side by side.
+		// Items of one request are adjacent.
 		if (last != nullptr && *last == item.work->attempt) {
 			continue;
 		}
 		last = &item.work->attempt;
-		if (count++ < MOST_LOGGED_REQUESTS) {
+		if (count++ < MAX_LOGGED_REQUESTS) {
 			list += (list.empty() ? "" : ",") + item.work->attempt;
 		}
 	}
@@ -74,7 +74,7 @@
 }
 
 bool pool_caller::_try_repeat(instant p_now) {
-	// This node alone dispatches the pool, so the whole bounds are its own.
+	// Only this node dispatches the pool, so the retry limits aren't divided among nodes.
 	return _repeats.try_repeat(_context.settings.retries, 1, p_now);
 }
 
@@ -114,15 +114,15 @@
 	_pool.tick([this, now] { return _try_repeat(now); }, now);
 	_give_up_overdue();
 	_count_examined();
-	_send_releases(RELEASE_PATIENCE);
+	_send_releases(MAX_RELEASE_DELAY);
 	pump();
 	_send_releases(duration::zero());
 }
 
 void pool_caller::_count_examined() {
 	const std::uint64_t examined = _pool.get_examined();
-	_context.metrics.count("stage_works_examined", static_cast<double>(examined - _examined_told));
-	_examined_told = examined;
+	_context.metrics.count("stage_works_examined", static_cast<double>(examined - _examined_reported));
+	_examined_reported = examined;
 }
 
 void pool_caller::_send(const stage_call &p_call) {
@@ -139,12 +139,12 @@
 	request.to = p_call.to;
 	request.zone = p_call.zone;
 	request.bytes = write_stage_call(p_call.replica.vm, p_call.to, items);
-	request.longest_idle = REPLICA_IDLE;
+	request.longest_idle = MAX_REPLICA_IDLE_TIME;
 	request.connect_timeout = CONNECT_TIMEOUT;
 	struct answer_state {
 		int status = 0;
 		bool did_not_run = false;
-		bounded_body body{ LARGEST_ANSWER };
+		bounded_body body{ MAX_ANSWER_BYTES };
 	};
 	const std::shared_ptr<answer_state> answer = std::make_shared<answer_state>();
 	channel_hooks hooks;
@@ -192,20 +192,20 @@
 	if (end == call_end::ANSWERED) {
 		results = read_stage_answer(p_body, p_call.items.size());
 	}
-	// An answer that was broken off in good order cannot be read.
+	// An answer that was truncated by an orderly close cannot be parsed.
 	const bool is_cut = end == call_end::ANSWERED && results.empty();
 	if (is_cut) {
 		end = call_end::BROKEN;
 	}
 	if (is_cut || p_end == channel_end::BROKEN) {
-		_note_lost(p_call);
+		_report_interrupted_runs(p_call);
 	}
 	if (end != call_end::ANSWERED) {
 		_context.metrics.count("stage_calls_failed");
 		_context.log.write_request(log_line("stage_call_failed").add("pool", _name).add("call", static_cast<long long>(p_call.id)).add("replica", p_call.replica.vm).add("end", is_cut ? "cut" : get_name(p_end)).add("status", static_cast<long long>(p_status)));
 	}
 	_end_run(p_call.id, end, results);
-	_note_without_room(p_call, results);
+	_record_without_capacity(p_call, results);
 	_pool.on_call_ended(p_call.id, end, results, event_loop::now());
 	pump();
 }
@@ -224,7 +224,7 @@
 	_guard.get_rollouts().on_ended(sent.run);
 }
 
-void pool_caller::_note_lost(const stage_call &p_call) {
+void pool_caller::_report_interrupted_runs(const stage_call &p_call) {
 	std::set<work_id> noted;
 	for (const stage_item &item : p_call.items) {
 		const stage_work *work = _pool.find_work(item.work);
@@ -234,7 +234,7 @@
 	}
 }
 
-void pool_caller::_note_without_room(const stage_call &p_call, const std::vector<item_result> &p_results) {
+void pool_caller::_record_without_capacity(const stage_call &p_call, const std::vector<item_result> &p_results) {
 	const std::ptrdiff_t without_room = std::count_if(p_results.begin(), p_results.end(), [](const item_result &p_result) { return p_result.end == item_end::NO_ROOM; });
 	if (without_room > 0) {
 		_context.metrics.count("stage_pieces_without_room", static_cast<double>(without_room));
@@ -254,12 +254,12 @@
 	}
 }
 
-void pool_caller::_send_releases(duration p_patience) {
+void pool_caller::_send_releases(duration p_min_age) {
 	const activity_scope scope(_context.loop, activity::STAGE_RELEASES);
 	const instant now = event_loop::now();
-	std::erase_if(_to_release, [this, p_patience, now](const auto &p_entry) {
+	std::erase_if(_to_release, [this, p_min_age, now](const auto &p_entry) {
 		const auto &[maker, pending] = p_entry;
-		if (now - pending.since < p_patience || !_may_release(maker, now)) {
+		if (now - pending.since < p_min_age || !_may_release(maker, now)) {
 			return false;
 		}
 		_send_release(maker, pending.handles);
@@ -285,11 +285,11 @@
 	request.endpoint.vm = "release/" + p_maker;
 	request.to = parse_network_address(p_maker);
 	request.bytes = write_release(request.to, p_handles);
-	request.longest_idle = REPLICA_IDLE;
+	request.longest_idle = MAX_REPLICA_IDLE_TIME;
 	channel_hooks hooks;
 	hooks.on_end = [this, p_maker](channel_end p_end) {
 		if (p_end != channel_end::COMPLETE) {
-			// The results expire by themselves; until then their room is taken.
+			// The results expire by themselves, but use memory until then.
 			_context.metrics.count("releases_failed");
 			_context.log.write_request(log_line("release_failed").add("maker", p_maker).add("end", get_name(p_end)));
 		}
--- a/main/gateway/pool_caller.h
+++ b/main/gateway/pool_caller.h
@@ -23,22 +23,22 @@
 
 namespace calicoscale {
 
-/** What the calls of a pool tell and ask their dispatcher. */
+/** Hooks through which a pool caller notifies and queries its dispatcher. */
 struct pool_caller_hooks {
-	std::function<void(const lost_run &)> on_run_lost; ///< A replica ended while it made a request's pieces.
-	std::function<void(const work_result &)> on_ended; ///< Work has all its results, or will not have them.
-	std::function<bool()> may_call; ///< False while queued work has to wait.
+	std::function<void(const lost_run &)> on_run_lost; ///< A replica failed while it ran items of a request.
+	std::function<void(const work_result &)> on_ended; ///< Work has all its results, or cannot get them any more.
+	std::function<bool()> may_call; ///< Returns false while queued work must wait.
 };
 
-/** Sends the calls that a pool's queue decides, takes their answers, and tells makers which results are needed no more. */
+/** Sends the calls chosen by a pool's queue, processes their answers, and notifies producers of results that are no longer needed. */
 class pool_caller {
-	/** Handles of results that are needed no more. */
+	/** Handles of results that are no longer needed and must be released at their producer. */
 	struct pending_release {
 		std::vector<std::string> handles;
 		instant since{};
 	};
 
-	/** A call at work, as far as versions are concerned. */
+	/** A call in progress, as counted for the roll-out of versions. */
 	struct sent_run {
 		version_run run;
 		instant at{};
@@ -47,14 +47,14 @@
 	gateway_context &_context;
 	send_guard &_guard;
 	const std::string _name;
-	const std::string _service; ///< Of which this is a shard.
+	const std::string _service; ///< Name of the pool of which this is a shard.
 	pool_caller_hooks _hooks;
 	stage_pool _pool;
 	retry_window _repeats;
-	std::uint64_t _examined_told = 0; ///< Works, in metrics.
+	std::uint64_t _examined_reported = 0; ///< Number of examined works already added to the metrics.
 	std::map<std::uint64_t, exchange_id> _exchanges; ///< By call.
 	std::map<std::uint64_t, sent_run> _runs; ///< By call.
-	std::map<std::string, pending_release> _to_release; ///< By the address of the maker.
+	std::map<std::string, pending_release> _to_release; ///< Pending releases, by the address of the producer.
 
 	bool _try_repeat(instant p_now);
 	void _count_examined();
@@ -62,11 +62,11 @@
 	void _send(const stage_call &p_call);
 	void _on_ended(const stage_call &p_call, channel_end p_end, int p_status, bool p_did_not_run, const std::string &p_body);
 	void _end_run(std::uint64_t p_call, call_end p_end, const std::vector<item_result> &p_results);
-	void _note_lost(const stage_call &p_call);
-	void _note_without_room(const stage_call &p_call, const std::vector<item_result> &p_results);
+	void _report_interrupted_runs(const stage_call &p_call);
+	void _record_without_capacity(const stage_call &p_call, const std::vector<item_result> &p_results);
 	void _give_up_overdue();
-	/** Sends releases that have waited so long, as far as their makers take them now. */
-	void _send_releases(duration p_patience);
+	/** Sends releases that have waited for at least p_min_age, if their producers accept them now. */
+	void _send_releases(duration p_min_age);
 	bool _may_release(const std::string &p_maker, instant p_now);
 	void _send_release(const std::string &p_maker, const std::vector<std::string> &p_handles);
 
@@ -78,19 +78,19 @@
 	stage_pool &get_pool() { return _pool; }
 	const stage_pool &get_pool() const { return _pool; }
 
-	/** Queues work; it is called for with the next pump(). */
+	/** Queues work. The next pump() may send calls for it. */
 	void add(work_id p_id, stage_work p_work);
 
-	/** Sends what may be sent now and tells what has ended. */
+	/** Sends the calls that may be sent now and reports completed work. */
 	void pump();
 
-	/** Zones that are cut off: what was called for there is called for elsewhere as far as repeats allow. */
+	/** Sets the unreachable zones. Items in calls to these zones are called for elsewhere, within the limits for repeats. */
 	void set_unreached_zones(const std::set<std::string> &p_zones);
 
-	/** Results that nothing needs any more; their makers are told with the next tick. */
+	/** Releases results that are no longer needed. Their producers are notified by later ticks. */
 	void release(const std::vector<std::string> &p_handles);
 
-	/** Gives up what is overdue and sends what waits. To be called often. */
+	/** Gives up overdue calls and sends waiting ones. Must be called often. */
 	void tick();
 };
 
--- a/main/gateway/stage_dispatcher.cpp
+++ b/main/gateway/stage_dispatcher.cpp
@@ -21,7 +21,7 @@
 /** A longer gap between ticks means that this process was stalled; by then the work assigned to it has moved to other nodes. */
 constexpr duration PAUSE = std::chrono::milliseconds(600);
 /** A silent node may return with its requests. After this time its results are released, which is before they expire by themselves. */
-constexpr duration LOST_RESULTS_KEPT = std::chrono::milliseconds(600);
+constexpr duration FAILED_NODE_RESULT_LIFETIME = std::chrono::milliseconds(600);
 
 /** Returns zero if p_begin is not set. */
 duration get_time_since(instant p_begin, instant p_now) {
@@ -33,8 +33,8 @@
 stage_dispatcher::stage_dispatcher(gateway_context &p_context, configuration_follower &p_configuration, gateway_fleet &p_fleet, commitment_table &p_commitments, send_guard &p_guard) :
 		_context(p_context), _configuration(p_configuration), _fleet(p_fleet), _commitments(p_commitments), _tick_timer(p_context.loop, [this] { _tick(); }), _guard(p_guard) {
 	node_link &link = _fleet.get_link();
-	link.work_handed().connect([this](const std::string &p_vm, const hand_work_message &p_message) { _on_work_handed(p_vm, p_message); });
-	link.work_ended().connect([this](const std::string &p_vm, const work_ended_message &p_message) { _on_handed_work_ended(p_vm, p_message); });
+	link.work_handed().connect([this](const std::string &p_vm, const hand_work_message &p_message) { _on_work_assigned(p_vm, p_message); });
+	link.work_ended().connect([this](const std::string &p_vm, const work_ended_message &p_message) { _on_assigned_work_ended(p_vm, p_message); });
 	link.work_cancelled().connect([this](const std::string &p_vm, const cancel_work_message &p_message) {
 		const auto found = _pools.find(p_message.pool);
 		if (found != _pools.end()) {
@@ -44,7 +44,7 @@
 	link.results_released().connect([this](const std::string &, const release_results_message &p_message) {
 		_get_pool(p_message.pool).calls.release(p_message.handles);
 	});
-	link.results_told().connect([this](const std::string &p_vm, const tell_results_message &p_message) { _on_results_told(p_vm, p_message); });
+	link.results_told().connect([this](const std::string &p_vm, const tell_results_message &p_message) { _on_results_reported(p_vm, p_message); });
 	_fleet.reach_changed().connect([this](const std::set<std::string> &p_zones) { _on_reach_changed(p_zones); });
 	_fleet.peer_lost().connect([this](const std::string &p_vm) { _on_peer_lost(p_vm); });
 }
@@ -75,7 +75,7 @@
 	}
 	// Pools that remain from another number of shards still complete the work that they accepted.
 	for (auto &[name, entry] : _pools) {
-		_take_replicas(name, entry);
+		_update_replicas(name, entry);
 	}
 	_on_reach_changed(_fleet.get_unreached_zones());
 }
@@ -108,7 +108,7 @@
 	return replicas;
 }
 
-void stage_dispatcher::_take_replicas(const std::string &p_name, pool_entry &r_entry) {
+void stage_dispatcher::_update_replicas(const std::string &p_name, pool_entry &r_entry) {
 	const gateway_service *service = _configuration.get_current() ? _configuration.get_current()->find_service(parse_shard_name(p_name).pool) : nullptr;
 	if (service != nullptr && service->stage_pool) {
 		r_entry.calls.get_pool().set_spec(*service->stage_pool);
@@ -134,7 +134,7 @@
 	hooks.may_call = [this] { return event_loop::now() - _ticked_at <= PAUSE; };
 	hooks.on_ended = [this, p_name](const work_result &p_result) { _on_ended(_pools.at(p_name), p_result); };
 	pool_entry &made = _pools.try_emplace(p_name, _context, _guard, p_name, std::move(hooks)).first->second;
-	_take_replicas(p_name, made);
+	_update_replicas(p_name, made);
 	return made;
 }
 
@@ -145,7 +145,7 @@
 	return dispatch_view{ _fleet.get_vm(), _fleet.get_dispatch_nodes(), !_fleet.is_hub(), [this](const std::string &p_vm) { return _fleet.get_link().is_linked(p_vm); } };
 }
 
-void stage_dispatcher::_record_dispatcher_known(const dispatch_view &p_view, instant p_now) {
+void stage_dispatcher::_update_no_dispatcher_since(const dispatch_view &p_view, instant p_now) {
 	if (!p_view.nodes.empty() || !p_view.is_told) {
 		_no_dispatcher_since = instant{};
 	} else if (_no_dispatcher_since == instant{}) {
@@ -165,7 +165,7 @@
 	return id;
 }
 
-hand_work_message stage_dispatcher::_make_hand_over(std::uint64_t p_id, const own_work &p_own) const {
+hand_work_message stage_dispatcher::_make_assignment(std::uint64_t p_id, const own_work &p_own) const {
 	const instant now = event_loop::now();
 	hand_work_message message;
 	message.id = p_id;
@@ -191,7 +191,7 @@
 	own_work &own = _own.at(p_id);
 	const instant now = event_loop::now();
 	const dispatch_view view = _get_view();
-	_record_dispatcher_known(view, now);
+	_update_no_dispatcher_since(view, now);
 	const dispatch_wait wait{ get_time_since(_no_dispatcher_since, now), get_time_since(own.waits_since, now) };
 	const std::optional<std::string> node = choose_work_node(own.pool, p_except, view, wait);
 	if (!node) {
@@ -200,13 +200,13 @@
 	}
 	if (*node == _fleet.get_vm()) {
 		own.node = *node;
-		_log_asked(own);
+		_log_requested(own);
 		_accept(own.pool, "", p_id, own.work);
 		return;
 	}
-	if (_fleet.get_link().send(*node, _make_hand_over(p_id, own))) {
+	if (_fleet.get_link().send(*node, _make_assignment(p_id, own))) {
 		own.node = *node;
-		_log_asked(own);
+		_log_requested(own);
 		return;
 	}
 	_fleet.keep_link(*node);
@@ -242,7 +242,7 @@
 	}
 }
 
-void stage_dispatcher::_log_asked(const own_work &p_own) {
+void stage_dispatcher::_log_requested(const own_work &p_own) {
 	const instant now = event_loop::now();
 	_context.log.write_request(log_line("stage_asked").add("request", p_own.work.attempt).add("stage", static_cast<long long>(p_own.work.stage)).add("pool", p_own.pool).add("pieces", static_cast<long long>(p_own.work.pieces)).add("node", p_own.node).add("left_ms", p_own.work.give_up_at - now).add("link_wait_ms", get_time_since(p_own.waits_since, now)));
 }
@@ -256,7 +256,7 @@
 	_pump_soon();
 }
 
-void stage_dispatcher::_on_work_handed(const std::string &p_vm, const hand_work_message &p_message) {
+void stage_dispatcher::_on_work_assigned(const std::string &p_vm, const hand_work_message &p_message) {
 	constexpr std::uint32_t MOST_PIECES = 4096;
 	if (p_message.pieces == 0 || p_message.pieces > MOST_PIECES) {
 		_context.metrics.count("work_rejected");
@@ -282,7 +282,7 @@
 	_accept(p_message.pool, p_vm, p_message.id, std::move(work));
 }
 
-void stage_dispatcher::_on_handed_work_ended(const std::string &p_vm, const work_ended_message &p_message) {
+void stage_dispatcher::_on_assigned_work_ended(const std::string &p_vm, const work_ended_message &p_message) {
 	const auto found = _own.find(p_message.id);
 	// Ignores the message if the work has since been assigned to another node.
 	if (found == _own.end() || found->second.node != p_vm) {
@@ -348,7 +348,7 @@
 	tell_results_message message;
 	message.pool = p_pool;
 	for (const auto &[handle, result] : r_held) {
-		if (result.told_to != node) {
+		if (result.reported_to != node) {
 			message.handles.push_back(handle);
 			message.result_bytes.push_back(result.bytes);
 			message.incarnations.push_back(result.incarnation);
@@ -358,17 +358,17 @@
 		return;
 	}
 	if (node == _fleet.get_vm()) {
-		_on_results_told("", message);
+		_on_results_reported("", message);
 	} else if (!_fleet.get_link().send(node, message)) {
 		return;
 	}
 	for (auto &[handle, result] : r_held) {
-		result.told_to = node;
+		result.reported_to = node;
 	}
 	_context.log.write(log_line("results_told").add("pool", p_pool).add("node", node).add("count", static_cast<long long>(message.handles.size())));
 }
 
-void stage_dispatcher::_on_results_told(const std::string &p_owner, const tell_results_message &p_message) {
+void stage_dispatcher::_on_results_reported(const std::string &p_owner, const tell_results_message &p_message) {
 	std::vector<held_result> results;
 	for (std::size_t i = 0; i < p_message.handles.size(); i++) {
 		const std::uint64_t incarnation = i < p_message.incarnations.size() ? p_message.incarnations[i] : 0;
@@ -377,10 +377,10 @@
 	_get_pool(p_message.pool).calls.get_pool().on_results_told(p_owner, results, event_loop::now());
 }
 
-void stage_dispatcher::_release_of_lost() {
+void stage_dispatcher::_release_results_of_failed() {
 	const instant now = event_loop::now();
 	for (auto lost = _failed_at.begin(); lost != _failed_at.end();) {
-		if (!_fleet.is_heard(lost->first) && now - lost->second < LOST_RESULTS_KEPT) {
+		if (!_fleet.is_heard(lost->first) && now - lost->second < FAILED_NODE_RESULT_LIFETIME) {
 			++lost;
 			continue;
 		}
@@ -488,7 +488,7 @@
 	}
 }
 
-void stage_dispatcher::_forget_after_pause() {
+void stage_dispatcher::_drop_work_after_stall() {
 	for (auto &[name, entry] : _pools) {
 		std::vector<std::pair<std::string, std::uint64_t>> handed;
 		for (const auto &[owner, id] : entry.by_owner) {
@@ -523,16 +523,16 @@
 	const activity_scope scope(_context.loop, activity::STAGE_TICK);
 	const instant now = event_loop::now();
 	if (now - _ticked_at > PAUSE) {
-		_forget_after_pause();
+		_drop_work_after_stall();
 	}
 	_ticked_at = now;
-	_record_dispatcher_known(_get_view(), now);
+	_update_no_dispatcher_since(_get_view(), now);
 	_keep_links();
 	_assign_waiting();
 	for (auto &[name, held] : _used_results) {
 		_report_used_results(name, held);
 	}
-	_release_of_lost();
+	_release_results_of_failed();
 	for (auto &[name, entry] : _pools) {
 		entry.calls.tick();
 	}
--- a/main/gateway/stage_dispatcher.h
+++ b/main/gateway/stage_dispatcher.h
@@ -59,7 +59,7 @@
 	/** A result that a request of this node uses. */
 	struct own_result {
 		std::size_t bytes = 0;
-		std::string told_to; ///< Node to which the use of the result was reported.
+		std::string reported_to; ///< Node to which the use of the result was reported.
 		std::uint64_t incarnation = 0; ///< Incarnation of the replica that produced it; 0 if unknown.
 	};
 
@@ -88,21 +88,21 @@
 	std::vector<std::string> _get_shard_names(const std::string &p_pool) const;
 	/** Replicas of a shard that may receive calls. */
 	std::vector<endpoint_listing> _get_replicas(const std::string &p_name) const;
-	void _take_replicas(const std::string &p_name, pool_entry &r_entry);
+	void _update_replicas(const std::string &p_name, pool_entry &r_entry);
 	/** Removes a result from those that this node uses, and returns the shard whose dispatcher knows it. */
 	std::string _remove_used_result(const std::string &p_pool, const std::string &p_handle);
 	dispatch_view _get_view() const;
 	/** Records since when this node knows no dispatching node. */
-	void _record_dispatcher_known(const dispatch_view &p_view, instant p_now);
+	void _update_no_dispatcher_since(const dispatch_view &p_view, instant p_now);
 	std::string _choose_node(const std::string &p_pool) const;
 	void _assign(std::uint64_t p_id, const std::string &p_except);
-	hand_work_message _make_hand_over(std::uint64_t p_id, const own_work &p_own) const;
+	hand_work_message _make_assignment(std::uint64_t p_id, const own_work &p_own) const;
 	void _assign_waiting();
 	void _keep_links();
-	void _log_asked(const own_work &p_own);
+	void _log_requested(const own_work &p_own);
 	void _accept(const std::string &p_pool, const std::string &p_node, std::uint64_t p_id, stage_work p_work);
 	void _cancel_accepted(pool_entry &p_entry, const std::string &p_node, std::uint64_t p_id);
-	void _on_handed_work_ended(const std::string &p_vm, const work_ended_message &p_message);
+	void _on_assigned_work_ended(const std::string &p_vm, const work_ended_message &p_message);
 
 	/**
 	 * Cancels work that another node assigned, and notifies that node. An owner that has not noticed this node's silence would
@@ -115,13 +115,13 @@
 	/** Reports the end of work in a pool of this node to the owner of the work. */
 	void _on_ended(pool_entry &p_entry, const work_result &p_result);
 	void _tick();
-	void _forget_after_pause();
+	void _drop_work_after_stall();
 	void _report_used_results(const std::string &p_pool, std::map<std::string, own_result> &r_held);
-	void _on_results_told(const std::string &p_owner, const tell_results_message &p_message);
-	void _release_of_lost();
+	void _on_results_reported(const std::string &p_owner, const tell_results_message &p_message);
+	void _release_results_of_failed();
 	void _on_reach_changed(const std::set<std::string> &p_zones);
 	void _on_peer_lost(const std::string &p_vm);
-	void _on_work_handed(const std::string &p_vm, const hand_work_message &p_message);
+	void _on_work_assigned(const std::string &p_vm, const hand_work_message &p_message);
 
 public:
 	stage_dispatcher(gateway_context &p_context, configuration_follower &p_configuration, gateway_fleet &p_fleet, commitment_table &p_commitments, send_guard &p_guard);
