--- a/main/gateway/stage_dispatcher.cpp
+++ b/main/gateway/stage_dispatcher.cpp
@@ -19,7 +19,7 @@
 
 constexpr duration TICK = std::chrono::milliseconds(30);
 /** A longer gap between ticks means that this process was stalled; by then the work assigned to it has moved to other nodes. */
-constexpr duration PAUSE = std::chrono::milliseconds(600);
+constexpr duration STALL_THRESHOLD = std::chrono::milliseconds(600);
 /** A silent node may return with its requests. After this time its results are released, which is before they expire by themselves. */
 constexpr duration FAILED_NODE_RESULT_LIFETIME = std::chrono::milliseconds(600);
 
@@ -131,7 +131,7 @@
 	pool_caller_hooks hooks;
 	hooks.on_run_lost = [this](const lost_run &p_run) { _on_run_lost(p_run); };
 	// After a process stall, answers are read before the tick drops the work that has moved to other nodes. No calls are sent until then.
-	hooks.may_call = [this] { return event_loop::now() - _ticked_at <= PAUSE; };
+	hooks.may_call = [this] { return event_loop::now() - _ticked_at <= STALL_THRESHOLD; };
 	hooks.on_ended = [this, p_name](const work_result &p_result) { _on_ended(_pools.at(p_name), p_result); };
 	pool_entry &made = _pools.try_emplace(p_name, _context, _guard, p_name, std::move(hooks)).first->second;
 	_update_replicas(p_name, made);
@@ -522,7 +522,7 @@
 void stage_dispatcher::_tick() {
 	const activity_scope scope(_context.loop, activity::STAGE_TICK);
 	const instant now = event_loop::now();
-	if (now - _ticked_at > PAUSE) {
+	if (now - _ticked_at > STALL_THRESHOLD) {
 		_drop_work_after_stall();
 	}
 	_ticked_at = now;
--- a/misc/scripts/mutations.sh
+++ b/misc/scripts/mutations.sh
@@ -107,7 +107,7 @@
 mutate "gateway: retry budget" "it is not spent" servers/gateway/retry_window.cpp "_get_bucket(p_bounds, p_now).repeats += 1.0;" "" gateway_state_test
 mutate "gateway: named endpoint" "a send does not say whom it is for" platform/request_codec.cpp "add_header(text, ENDPOINT, p_send.endpoint);" "" gateway_test
 mutate "gateway: planned stop" "the loop ends while requests run" main/gateway/gateway.cpp "const bool is_over = since >= grace - STOP_MARGIN;" "const bool is_over = true;" gateway_fleet_test
-mutate "gateway: pause" "a node that stood still goes on with what was handed to it" main/gateway/stage_dispatcher.cpp "_forget_after_pause();
+mutate "gateway: pause" "a node that stood still goes on with what was handed to it" main/gateway/stage_dispatcher.cpp "_drop_work_after_stall();
 	}
 	_ticked_at" "}
 	_ticked_at" gateway_pause_test
@@ -119,7 +119,7 @@
 mutate "requests that end endpoints" "two trials at once" $memory "return p_entry.first != p_trial && (is_under_way || comes_first);" "return false;" crash_memory_test
 mutate "requests that end endpoints" "a connection that ends alone blames its run" servers/gateway/lost_runs.cpp "if (p_end == probe_end::REFUSED) {" "if (p_end != probe_end::SILENT) {" lost_runs_test
 mutate "nodes that stood still" "peers are silent by one's own absence" servers/membership/peer_contacts.cpp "*heard == instant{} ? duration::zero() : p_absence" "duration::zero()" gateway_suspension_test
-mutate "nodes that stood still" "requests are decided on before what changed is known" main/gateway/gateway.cpp "return !_configuration.is_known_since(_away_until) || !_endpoints.is_known_since(_away_until);" "return false;" gateway_suspension_test
+mutate "nodes that stood still" "requests are decided on before what changed is known" main/gateway/gateway.cpp "return !_configuration.is_known_since(_stalled_until) || !_endpoints.is_known_since(_stalled_until);" "return false;" gateway_suspension_test
 mutate "nodes that stood still" "silence is judged before what came is read" drivers/event_loop.cpp "	_is_reading_first = true;
 " "" event_loop_test
 mutate "one address, one endpoint" "the earlier entry stays" servers/gateway/endpoint_directory.cpp "		_take_address(p_listing.vm);
