--- a/main/gateway/admission.cpp
+++ b/main/gateway/admission.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: admission.cpp
- * Decides whether a request is begun, or refused at once with a time to come back.
+ * Decides whether a request is started, or refused immediately with a retry time.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -14,12 +14,12 @@
 
 namespace {
 
-constexpr duration SHORTEST_RETRY_AFTER = std::chrono::milliseconds(150);
-/** Spread of the times to come back, so that those refused together do not return together. */
+constexpr duration MIN_RETRY_AFTER = std::chrono::milliseconds(150);
+/** Spread of retry times, so that requests that were refused together are not retried together. */
 constexpr double RETRY_SPREAD = 0.5;
-/** Where nothing is predicted. */
+/** Retry time if none is predicted. */
 constexpr duration RETRY_AFTER = std::chrono::milliseconds(500);
-/** Operators empty a zone for seconds at least, and nothing tells when they take it back. */
+/** An evacuation lasts for seconds at least, and its end is not known in advance. */
 constexpr duration CLOSED_OFF_RETRY_AFTER = std::chrono::seconds(2);
 
 } // namespace
@@ -49,7 +49,7 @@
 	return "";
 }
 
-std::optional<refusal> admission::_judge_places(const admitted_request &p_request) const {
+std::optional<refusal> admission::_judge_locations(const admitted_request &p_request) const {
 	const std::size_t evacuated = _evacuations.get_zones().size();
 	if (evacuated == 0 && !p_request.homes.is_bound()) {
 		return std::nullopt;
@@ -67,8 +67,8 @@
 	const duration remaining = p_request.facts.remaining.value_or(p_request.route->timeout);
 	const double spread = 1.0 + _shared.context.random.get_unit() * RETRY_SPREAD;
 	const duration wait = from_seconds(to_seconds(p_late) * spread);
-	const duration honest = _context.settings.mechanisms.has(mechanism::PREDICTED_RETURN) ? wait : RETRY_AFTER;
-	return std::clamp<duration>(honest, SHORTEST_RETRY_AFTER, std::max<duration>(SHORTEST_RETRY_AFTER, remaining / 3));
+	const duration suggested = _context.settings.mechanisms.has(mechanism::PREDICTED_RETURN) ? wait : RETRY_AFTER;
+	return std::clamp<duration>(suggested, MIN_RETRY_AFTER, std::max<duration>(MIN_RETRY_AFTER, remaining / 3));
 }
 
 std::optional<refusal> admission::_judge_time(admitted_request &r_request) {
@@ -99,15 +99,15 @@
 	if (prospect.wait && late <= duration::zero()) {
 		return std::nullopt;
 	}
-	const bool is_resting = !prospect.wait && prospect.rest_left;
-	const duration retry_after = is_resting ? *prospect.rest_left : _get_return_time(late, p_request);
+	const bool is_backing_off = !prospect.wait && prospect.rest_left;
+	const duration retry_after = is_backing_off ? *prospect.rest_left : _get_return_time(late, p_request);
 	return refusal{ reason::NO_ENDPOINT, retry_after, [prospect, before](log_line &r_line) {
 					   r_line.add("limit_wait_ms", prospect.wait.value_or(duration::zero())).add("has_place", prospect.wait ? "yes" : "no").add("rest_left_ms", prospect.rest_left.value_or(duration::zero())).add("before", static_cast<long long>(before));
 				   } };
 }
 
 std::optional<refusal> admission::judge(admitted_request &r_request) {
-	std::optional<refusal> refused = _judge_places(r_request);
+	std::optional<refusal> refused = _judge_locations(r_request);
 	if (!refused) {
 		refused = _judge_time(r_request);
 	}
--- a/main/gateway/admission.h
+++ b/main/gateway/admission.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: admission.h
- * Decides whether a request is begun, or refused at once with a time to come back.
+ * Decides whether a request is started, or refused immediately with a retry time.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -17,38 +17,38 @@
 
 namespace calicoscale {
 
-/** Why a request is not begun. */
+/** Reason why a request is not started. */
 struct refusal {
 	reason why = reason::NONE;
 	duration retry_after = duration::zero();
-	std::function<void(log_line &)> describe; ///< Adds what decided it.
+	std::function<void(log_line &)> describe; ///< Adds the facts behind the decision to a log line.
 };
 
-/** Judges requests by what is known before anything runs. */
+/** Judges requests by what is known before any of their work runs. */
 class admission {
 	const gateway_context &_context;
 	request_services &_shared;
 	evacuation_follower &_evacuations;
 
 	std::optional<refusal> _judge_crashes(const admitted_request &p_request) const;
-	/** Whether all endpoints that it needs of some service are evacuated or outside its homes. */
-	std::optional<refusal> _judge_places(const admitted_request &p_request) const;
+	/** Refuses a request for which all endpoints of a service or pool that it needs are evacuated or outside its home regions. */
+	std::optional<refusal> _judge_locations(const admitted_request &p_request) const;
 	std::string _find_closed_off(const admitted_request &p_request) const;
-	/** Whether it is predicted to be late. */
+	/** Refuses a request that is predicted to miss its route's objective. */
 	std::optional<refusal> _judge_time(admitted_request &r_request);
-	/** Whether all endpoints of its service take only so much, and what is left for it comes too late. */
+	/** Refuses a request for which the limits of all endpoints of its service leave no capacity in time. */
 	std::optional<refusal> _judge_limits(const admitted_request &p_request);
-	/** When a request that would be late by so much may come back. */
+	/** Returns the time after which a request that would be late by p_late may be retried. */
 	duration _get_return_time(duration p_late, const admitted_request &p_request);
 
 public:
 	admission(const gateway_context &p_context, request_services &p_shared, evacuation_follower &p_evacuations) :
 			_context(p_context), _shared(p_shared), _evacuations(p_evacuations) {}
 
-	/** Whether a request is refused, as endpoints ended under it before. Called before its service is chosen. */
+	/** Refuses a request that crashed endpoints before. Must be called before its service is chosen. */
 	std::optional<refusal> judge_content(const admitted_request &p_request) const { return _judge_crashes(p_request); }
 
-	/** Whether a request is refused, by where it may go and by when it would be answered; notes the latter in it. */
+	/** Refuses a request by where it may be sent and by its predicted answer time, which is stored in the request. */
 	std::optional<refusal> judge(admitted_request &r_request);
 };
 
--- a/main/gateway/admitted_request.cpp
+++ b/main/gateway/admitted_request.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: admitted_request.cpp
- * A request whose route and customer are known, and what all requests share.
+ * A request whose route and customer are known, and the services that all requests share.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
--- a/main/gateway/admitted_request.h
+++ b/main/gateway/admitted_request.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: admitted_request.h
- * A request whose route and customer are known, and what all requests share.
+ * A request whose route and customer are known, and the services that all requests share.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -24,25 +24,25 @@
 
 namespace calicoscale {
 
-/** What requests share. */
+/** Services and state that all requests share. */
 struct request_services {
 	gateway_context &context;
 	gateway_fleet &fleet;
 	endpoint_follower &endpoints;
 	stage_dispatcher &dispatcher;
 	router &services; ///< Endpoints of plain services, own zone first.
-	router &engines; ///< Engines of all zones, by shared parts of prompts.
+	router &engines; ///< Engines of all zones, chosen by shared prefixes of prompts.
 	std::map<std::string, retry_window> &repeats; ///< By service.
-	std::map<std::string, duration> &usual_times; ///< Of answers, by service.
+	std::map<std::string, duration> &usual_times; ///< Typical answer times, by service.
 	commitment_table &commitments;
 	engine_view &engine_caches;
 	prompt_exchange &prompts;
 	crash_guard &crashes;
-	std::map<std::string, duration> &first_event_times; ///< From the send to the first event, by route.
+	std::map<std::string, duration> &first_event_times; ///< Typical time from the send to the first event, by route.
 	send_guard &guard;
 };
 
-/** Usual time from the send to the first event of a route's answers. */
+/** Typical time from the send to the first event of a route's answers. */
 duration get_first_event_time(const request_services &p_services, const std::string &p_route);
 
 /** A request that was admitted: its route and customer are known. */
@@ -54,28 +54,28 @@
 	std::string service;
 	home_regions homes;
 	caller_request facts;
-	duration predicted = duration::zero(); ///< Until the answer begins, as it was when the request was admitted; zero without stages.
+	duration predicted = duration::zero(); ///< Time until the answer begins, as predicted at admission; zero without stages.
 };
 
-/** Whether a request's service is made of engines. */
+/** Whether the endpoints of a request's service are engines. */
 bool is_engine(const admitted_request &p_request);
 
 /** Endpoints of a request's service. */
 router &get_router(const request_services &p_services, const admitted_request &p_request);
 
-/** Usual time from the send until the answer begins, or is there when it is no stream; zero while it is not known. */
+/** Typical time from the send until the answer begins, or until it is complete if it is not a stream. Zero if unknown. */
 duration get_answer_time(const request_services &p_services, const admitted_request &p_request);
 
-/** Which endpoints of a service a request may go to. */
+/** Describes the endpoints of a service that a request may be sent to. */
 choice_request make_choice(const gateway_context &p_context, const admitted_request &p_request);
 
-/** What comes again with a request. */
+/** Content that identifies a request when it is sent again. */
 request_content get_content(const admitted_request &p_request);
 
-/** Priority of a request: its customer's, or else its route's. */
+/** Priority of a request: that of its customer or, without one, of its route. */
 int get_priority(const admitted_request &p_request);
 
-/** The links of a request's prompt, each with all before it. */
+/** Links of a request's prompt. Each link depends on all those before it. */
 std::vector<prompt_link> make_prompt_links(const admitted_request &p_request);
 
 } // namespace calicoscale
--- a/main/gateway/endpoint_choice.cpp
+++ b/main/gateway/endpoint_choice.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: endpoint_choice.cpp
- * Which endpoint a request is sent to.
+ * Chooses the endpoint that a request is sent to.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -33,7 +33,7 @@
 
 std::optional<endpoint_id> endpoint_choice::choose(const std::string &p_zone) {
 	const rollout_service &rollouts = _services.guard.get_rollouts();
-	// A repeat is no further trial.
+	// A repeat does not try the target version again.
 	const bool is_for_target = !_is_repeat && rollouts.is_for_target(_request.service, _request.facts.attempt);
 	if (!is_for_target || rollouts.has_moved(_request.service)) {
 		return _choose_among(make(), p_zone);
--- a/main/gateway/endpoint_choice.h
+++ b/main/gateway/endpoint_choice.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: endpoint_choice.h
- * Which endpoint a request is sent to.
+ * Chooses the endpoint that a request is sent to.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -25,27 +25,30 @@
 	std::vector<endpoint_id> _avoid;
 	bool _is_repeat = false;
 
-	/** @param p_for_target Endpoints of a version that the service is moved to, else those of the others. */
+	/** @param p_for_target Whether to choose among endpoints of the version that the service is being moved to, or among the others. */
 	choice_request _make(bool p_for_target) const;
 	std::optional<endpoint_id> _choose_among(const choice_request &p_choice, const std::string &p_zone);
 
 public:
-	/** @param p_request Is to outlive this. */
+	/** @param p_request Must outlive this object. */
 	endpoint_choice(request_services &p_services, const admitted_request &p_request);
 
-	/** What an endpoint must be like. */
+	/** Describes the endpoints that the request may be sent to. */
 	choice_request make() const;
 
-	/** The best endpoint for a request whose inputs are in a zone, or nowhere; empty when there is none now. */
+	/**
+	 * Returns the best endpoint now, if any.
+	 * @param p_zone Zone of the request's inputs; empty if they are in no particular zone.
+	 */
 	std::optional<endpoint_id> choose(const std::string &p_zone);
-	/** Zone of the endpoint that would be chosen now; empty when there is none. */
+	/** Returns the zone of the endpoint that would be chosen now; empty if there is none. */
 	std::string choose_zone();
-	/** The endpoint with the least at work. */
+	/** Returns the usable endpoint with the fewest requests in flight, if any. */
 	std::optional<endpoint_id> choose_quietest() const;
 
-	/** Uses an endpoint again only when no other is left. */
+	/** Chooses an endpoint again only if no other is left. */
 	void avoid(endpoint_id p_endpoint) { _avoid.push_back(p_endpoint); }
-	/** The request was sent; what follows is no trial of another version. */
+	/** Marks further sends as repeats, which are not used to try the target version of a roll-out. */
 	void set_repeat() { _is_repeat = true; }
 
 	const std::vector<prompt_link> &get_prompt() const { return _prompt; }
--- a/main/gateway/received_answer.cpp
+++ b/main/gateway/received_answer.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: received_answer.cpp
- * The answer of an endpoint to one send, as far as it has come.
+ * The answer of an endpoint to one send, as far as it has been received.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
--- a/main/gateway/received_answer.h
+++ b/main/gateway/received_answer.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: received_answer.h
- * The answer of an endpoint to one send, as far as it has come.
+ * The answer of an endpoint to one send, as far as it has been received.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -19,33 +19,33 @@
 
 namespace calicoscale {
 
-/** What a success is expected to be. */
+/** Expected form of a successful answer. */
 enum class expected_answer {
 	PLAIN,
-	STREAM, ///< Events, one at least.
-	REST_OF_STREAM, ///< The events behind one that the caller has, if there are any.
+	STREAM, ///< At least one event.
+	REST_OF_STREAM, ///< The events after one that the caller already has, if there are any.
 };
 
-/** What became of an answer. */
+/** How an answer ended. */
 enum class answer_end {
 	WHOLE,
-	NOT_SENT, ///< No connection came up.
-	LOST, ///< Its connection ended first.
-	CUT, ///< It ended in good order and is not whole.
-	MALFORMED, ///< What came is no answer.
+	NOT_SENT, ///< No connection was established.
+	LOST, ///< The connection failed before the end of the answer.
+	CUT, ///< The connection closed in an orderly way, but the answer is incomplete.
+	MALFORMED, ///< The received data is not a valid answer.
 };
 
-/** Name of an end, e.g. "cut". */
+/** Returns the name of an end, e.g. "cut". */
 std::string_view get_name(answer_end p_end);
 
-/** Holds a plain answer until it is whole, hands a stream out event by event, and judges whether either is whole. */
+/** Buffers a plain answer until it is complete, passes a stream on event by event, and judges whether either is complete. */
 class received_answer {
-	static constexpr std::size_t LARGEST_BODY = 32UL * 1024 * 1024;
+	static constexpr std::size_t MAX_BODY_BYTES = 32UL * 1024 * 1024;
 
 	expected_answer _expected;
 	http_head _head;
 	endpoint_answer _notes;
-	bounded_body _body{ LARGEST_BODY };
+	bounded_body _body{ MAX_BODY_BYTES };
 	std::size_t _bytes = 0;
 	event_splitter _events;
 
@@ -53,29 +53,29 @@
 	explicit received_answer(expected_answer p_expected) :
 			_expected(p_expected) {}
 
-	/** The request is sent anew. Of a stream only what went out stays known, so that another endpoint can go on behind it. */
+	/** Prepares for a new send. Of a stream, only what was passed to the caller stays known, so that another endpoint can resume after it. */
 	void restart();
 
 	void take_head(const http_head &p_head);
 
-	/** Takes part of the body and returns what may go to the caller at once. */
+	/** Adds a part of the body and returns the bytes that may be passed to the caller now. */
 	std::string take_body(std::string_view p_bytes);
 
-	/** Whether the answer is whole. Its framing alone does not tell: a stream that ends inside an event was broken off. */
+	/** Judges whether the answer is complete. Its framing is not sufficient: a stream that ends inside an event was truncated. */
 	answer_end judge(channel_end p_end) const;
 
-	/** Whether it is a success that is read event by event. */
+	/** Whether the answer is a success that is read event by event. */
 	bool is_stream() const;
 
-	/** Of the head; empty as long as none has come. */
+	/** Head of the answer; empty until it is received. */
 	const http_head &get_head() const { return _head; }
 	const endpoint_answer &get_notes() const { return _notes; }
-	/** Of a plain answer. */
+	/** Body of a plain answer. */
 	const std::string &get_body() const { return _body.get(); }
 	std::size_t get_byte_count() const { return _bytes; }
 	const event_splitter &get_events() const { return _events; }
 
-	/** What is left of a stream that is whole. */
+	/** Removes and returns the remaining bytes of a complete stream. */
 	std::string take_rest() { return _events.take_rest(); }
 };
 
--- a/main/gateway/request_stages.cpp
+++ b/main/gateway/request_stages.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: request_stages.cpp
- * The stages of one request, from the first work asked for to the results that its service reads.
+ * The stages of one request, from the first requested work to the results that its service reads.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -17,8 +17,8 @@
 
 namespace {
 
-constexpr int MOST_RESTARTS = 2;
-/** Transfers from this size on are worth some delay to keep them within a zone. */
+constexpr int MAX_RESTARTS = 2;
+/** Size in bytes from which a transfer is worth some delay to keep it within a zone. */
 constexpr std::size_t LARGE_TRANSFER = 200'000;
 
 } // namespace
@@ -31,7 +31,7 @@
 		_hooks(std::move(p_hooks)),
 		_graph(p_request.route->stages, p_request.facts.stage_pieces),
 		_transfers(_graph, [this](const std::string &p_handle) { return _services.endpoints.get_directory().find_zone(get_maker(p_handle)); }),
-		_times_after(get_times_after(*p_request.configuration, *p_request.route, p_request.facts.stage_pieces)) {
+		_remaining_stage_times(get_times_after(*p_request.configuration, *p_request.route, p_request.facts.stage_pieces)) {
 }
 
 request_stages::~request_stages() {
@@ -69,7 +69,7 @@
 	if (!_services.context.settings.mechanisms.has(mechanism::STAGE_DUE_TIMES)) {
 		return objective;
 	}
-	return objective - _times_after[p_stage] - get_first_event_time(_services, _request.route->name);
+	return objective - _remaining_stage_times[p_stage] - get_first_event_time(_services, _request.route->name);
 }
 
 void request_stages::_set_zone(std::size_t p_stage, stage_work &r_work) {
@@ -78,7 +78,7 @@
 	for (const std::size_t input : spec.inputs) {
 		input_bytes += _graph.get_spec(input).result_bytes * _graph.get_pieces(input);
 	}
-	// Each piece reads all inputs.
+	// Each item reads all inputs.
 	const std::size_t read_bytes = input_bytes * _graph.get_pieces(p_stage);
 	const std::size_t made_bytes = _graph.is_final(p_stage) ? spec.result_bytes * _graph.get_pieces(p_stage) : 0;
 	r_work.transfer_bytes = std::max(read_bytes, made_bytes);
@@ -143,7 +143,7 @@
 	_services.context.log.write_request(log_line(is_done ? "stage_done" : "stage_failed").add("request", _request.facts.attempt).add("stage", static_cast<long long>(asked.stage)).add("pool", _graph.get_spec(asked.stage).pool).add("end", get_name(p_result.end)).add("took_ms", event_loop::now() - asked.asked_at).add("crossed_bytes", static_cast<long long>(crossed)));
 	if (is_done) {
 		_uncommit(asked.stage);
-		_release_spent();
+		_release_unneeded();
 		if (_graph.is_complete()) {
 			_hooks.on_complete();
 		} else {
@@ -167,7 +167,7 @@
 }
 
 bool request_stages::may_remake() const {
-	return _restarts < MOST_RESTARTS;
+	return _restarts < MAX_RESTARTS;
 }
 
 void request_stages::remake() {
@@ -175,18 +175,18 @@
 	_cancel_works();
 	_release_all();
 	_graph.restart();
-	_are_results_kept = true;
+	_has_results = true;
 	_advance();
 }
 
 void request_stages::on_results_read() {
-	if (_are_results_kept) {
-		_are_results_kept = false;
+	if (_has_results) {
+		_has_results = false;
 		_release_all();
 	}
 }
 
-void request_stages::_release_spent() {
+void request_stages::_release_unneeded() {
 	for (std::size_t i = 0; i < _graph.get_stage_count(); i++) {
 		_services.dispatcher.release(_graph.get_spec(i).pool, _graph.take_spent(i));
 	}
--- a/main/gateway/request_stages.h
+++ b/main/gateway/request_stages.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: request_stages.h
- * The stages of one request, from the first work asked for to the results that its service reads.
+ * The stages of one request, from the first requested work to the results that its service reads.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -21,16 +21,16 @@
 
 namespace calicoscale {
 
-/** What a request's stages ask of it and tell it. */
+/** Hooks through which the stages query and notify their request. */
 struct request_stages_hooks {
-	std::function<std::string()> choose_zone; ///< Zone of the endpoint that would get the request now; empty when there is none.
-	std::function<void()> on_complete; ///< All results are there.
-	std::function<void(reason)> on_failed; ///< They will not be.
+	std::function<std::string()> choose_zone; ///< Returns the zone of the endpoint that the request would be sent to now; empty if there is none.
+	std::function<void()> on_complete; ///< All results are available.
+	std::function<void(reason)> on_failed; ///< The results cannot be produced.
 };
 
 /**
- * Asks for the work of one request's stages in their order, counts it among the commitments until it is done, and gives results
- * back when nothing needs them any more. Results that are lost are made again. Destroying it cancels what it asked for.
+ * Requests the work of one request's stages in their order, counts it in the commitments until it is done, and releases results
+ * that are no longer needed. Lost results are produced again. Destroying the object cancels the requested work.
  */
 class request_stages {
 	struct asked_stage {
@@ -45,27 +45,27 @@
 	request_stages_hooks _hooks;
 	stage_graph _graph;
 	stage_transfers _transfers;
-	std::vector<duration> _times_after; ///< From the end of each stage to that of the last one, when nothing waits.
-	std::vector<duration> _committed; ///< Work counted in the commitments, by stage.
-	std::map<std::uint64_t, asked_stage> _works; ///< Work asked for.
-	std::string _results_zone; ///< Where large results for the service are made.
+	std::vector<duration> _remaining_stage_times; ///< Time from the end of each stage to the end of the last one, without queueing.
+	std::vector<duration> _committed; ///< Work that is counted in the commitments, by stage.
+	std::map<std::uint64_t, asked_stage> _works; ///< Requested work that has not completed, by id.
+	std::string _results_zone; ///< Zone in which large results for the service are produced.
 	request_fingerprint _fingerprint;
-	bool _is_alone = false; ///< Its work shares no call with that of others.
+	bool _is_alone = false; ///< Items of this request share no call with those of other requests.
 	bool _may_have_run = false;
-	bool _are_results_kept = true; ///< Not given back as a whole yet.
+	bool _has_results = true; ///< Not all results have been released.
 	int _restarts = 0;
 
 	void _commit();
 	void _uncommit(std::size_t p_stage);
 	instant _get_due(std::size_t p_stage) const;
 	void _set_zone(std::size_t p_stage, stage_work &r_work);
-	/** Counts results that were read. @return bytes that crossed zones. */
+	/** Counts results that were read. @return Bytes that crossed zones. */
 	std::size_t _count_read(const std::vector<result_transfer> &p_transfers);
 	void _advance();
 	void _ask(std::size_t p_stage);
 	void _on_work_ended(std::uint64_t p_id, const work_result &p_result);
 	void _cancel_works();
-	void _release_spent();
+	void _release_unneeded();
 	void _release_all();
 
 public:
@@ -74,37 +74,37 @@
 	request_stages(const request_stages &) = delete;
 	request_stages &operator=(const request_stages &) = delete;
 
-	/** Begins the first stages. @param p_is_alone whether this request's work shares no call with that of others. */
+	/** Starts the first stages. @param p_is_alone Whether items of this request share no call with those of other requests. */
 	void begin(bool p_is_alone);
 
-	/** Makes all results again, as some are gone or were given back. */
+	/** Produces all results again, because some were lost or released. */
 	void remake();
 
-	/** Whether that was not done too often yet; a stream that goes on elsewhere needs its results in any case. */
+	/** Whether remake() may be called again. A stream that is resumed elsewhere needs its results regardless of this limit. */
 	bool may_remake() const;
 
-	/** The service has read the results. */
+	/** Releases the results, as the service has read them. */
 	void on_results_read();
 
-	/** The request ended: nothing is asked for, counted or kept any more. */
+	/** Ends the stages with their request: cancels work, removes commitments and releases results. */
 	void end();
 
-	/** Counts what the service reads in a zone. @return bytes that cross zones. */
+	/** Counts the results that a service in a zone reads. @return Bytes that cross zones. */
 	std::size_t count_final_read(const std::string &p_zone);
 
 	/** Handles of the results that the service reads. */
 	std::vector<std::string> get_final_results() const { return _graph.get_final_results(); }
 
-	/** Zone in which large results are, near which the service is to be chosen; empty for any. */
+	/** Zone of large results, near which the service should be chosen. Empty for any zone. */
 	const std::string &get_results_zone() const { return _results_zone; }
 
-	/** Whether all results are there, as they are when there are no stages. */
+	/** Whether all results are available. True if there are no stages. */
 	bool is_complete() const { return _graph.is_complete(); }
 
 	/** Whether the request has no stages. */
 	bool is_empty() const { return _graph.is_empty(); }
 
-	/** Whether some work ended otherwise than done and may have run. */
+	/** Whether some work that did not complete may have run. */
 	bool may_have_run() const { return _may_have_run; }
 };
 
--- a/main/gateway/send_guard.cpp
+++ b/main/gateway/send_guard.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: send_guard.cpp
- * Keeps what this node sends within what endpoints say that they take.
+ * Keeps what this node sends within the limits that endpoints advertise.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -15,10 +15,11 @@
 /** Limits told in one message; with five messages a second they stay within a node's budget for control. */
 constexpr std::size_t MOST_RECORDS = 60;
 /** Limits told to a node that is linked anew. */
-constexpr std::size_t MOST_KNOWN_RECORDS = 500;
+constexpr std::size_t MAX_KNOWN_RECORDS = 500;
 
 news_digest<limit_record> make_digest() {
-	// The end of a limit is noticed by the next answer anyway; an endpoint that is overrun is not served meanwhile.
+	// Limits take precedence over ends of limits: the next answer shows the end of a limit anyway, while an unknown limit lets this node
+	// overload the endpoint.
 	return news_digest<limit_record>(MOST_RECORDS, [](const limit_record &p_record) { return p_record.rate ? 1.0 : 0.0; });
 }
 
@@ -33,7 +34,7 @@
 		_limits(p_context.settings.vm, p_context.settings.zone, p_context.settings.mechanisms.has(mechanism::COLD_RANKS) ? limit_sharing::RANKS : limit_sharing::EVEN),
 		_relay(p_context.loop, p_fleet, make_digest(), [this](const std::string &p_vm, const std::vector<limit_record> &p_records) { _send(p_vm, p_records); }) {
 	_fleet.get_link().link_up().connect([this](const std::string &p_vm) { _on_link_up(p_vm); });
-	_fleet.get_link().limits_told().connect([this](const std::string &p_vm, const tell_limits_message &p_message) { _on_told(p_vm, p_message); });
+	_fleet.get_link().limits_told().connect([this](const std::string &p_vm, const tell_limits_message &p_message) { _on_limits_reported(p_vm, p_message); });
 }
 
 void send_guard::on_answer(const endpoint_identity &p_endpoint, const endpoint_notice &p_notice, bool p_is_signed, instant p_sent_at) {
@@ -53,7 +54,7 @@
 		_context.metrics.count("answers_that_ask_for_rest");
 		_context.log.write_request(log_line("endpoint_asks_rest").add("endpoint", p_endpoint.vm).add("rest_ms", p_notice.rest).add("sent_before_ms", now - p_sent_at));
 	}
-	_note(_limits.get_named().on_answer(p_endpoint, p_notice, p_is_signed, p_sent_at, now), p_endpoint, "answer");
+	_log_change(_limits.get_named().on_answer(p_endpoint, p_notice, p_is_signed, p_sent_at, now), p_endpoint, "answer");
 	const std::vector<limit_record> news = _limits.get_named().take_news();
 	for (const limit_record &record : news) {
 		_relay.add_own(record);
@@ -63,7 +64,7 @@
 	}
 }
 
-void send_guard::_note(limit_change p_change, const endpoint_identity &p_endpoint, std::string_view p_source) {
+void send_guard::_log_change(limit_change p_change, const endpoint_identity &p_endpoint, std::string_view p_source) {
 	if (p_change == limit_change::NONE || p_change == limit_change::RENEWED) {
 		return;
 	}
@@ -78,7 +79,7 @@
 }
 
 void send_guard::_on_link_up(const std::string &p_vm) {
-	const std::vector<limit_record> records = _limits.get_named().get_records(MOST_KNOWN_RECORDS);
+	const std::vector<limit_record> records = _limits.get_named().get_records(MAX_KNOWN_RECORDS);
 	if (!records.empty()) {
 		_send(p_vm, records);
 	}
@@ -95,14 +96,14 @@
 	_context.metrics.count("limits_told", static_cast<double>(p_records.size()));
 }
 
-void send_guard::_on_told(const std::string &p_vm, const tell_limits_message &p_message) {
+void send_guard::_on_limits_reported(const std::string &p_vm, const tell_limits_message &p_message) {
 	const instant now = event_loop::now();
 	std::vector<limit_record> news;
 	for (const told_limit &told : p_message.limits) {
 		const limit_record record{ told.endpoint, told.rate, now - told.age };
 		const limit_change change = _limits.get_named().take(record, now);
 		if (change != limit_change::NONE) {
-			_note(change, record.endpoint, "peer/" + p_vm);
+			_log_change(change, record.endpoint, "peer/" + p_vm);
 			news.push_back(record);
 		}
 	}
--- a/main/gateway/send_guard.h
+++ b/main/gateway/send_guard.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: send_guard.h
- * Keeps what this node sends within what endpoints say that they take.
+ * Keeps what this node sends within the limits that endpoints advertise.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -25,8 +25,8 @@
 namespace calicoscale {
 
 /**
- * Asks before each send whether the endpoint takes it, and takes from each answer what it says of its endpoint: a limit, of which
- * it tells the other nodes and hears from them, that it leaves, and that it wants rest.
+ * Checks before each send whether the endpoint accepts it, and applies what each answer reports about its endpoint: a limit, which
+ * nodes exchange with each other, that the endpoint is leaving, or that it requests a back-off.
  */
 class send_guard {
 	gateway_context &_context;
@@ -36,48 +36,48 @@
 	rollout_service &_rollouts;
 	endpoint_limits _limits;
 	hub_relay<limit_record> _relay;
-	waiting_line _line;
+	waiting_line _queue;
 
 	void _on_link_up(const std::string &p_vm);
-	void _on_told(const std::string &p_vm, const tell_limits_message &p_message);
+	void _on_limits_reported(const std::string &p_vm, const tell_limits_message &p_message);
 	void _send(const std::string &p_vm, const std::vector<limit_record> &p_records);
-	void _note(limit_change p_change, const endpoint_identity &p_endpoint, std::string_view p_source);
+	void _log_change(limit_change p_change, const endpoint_identity &p_endpoint, std::string_view p_source);
 
 public:
 	send_guard(gateway_context &p_context, configuration_follower &p_configuration, gateway_fleet &p_fleet, endpoint_follower &p_endpoints, rollout_service &p_rollouts);
 
 	endpoint_limits &get_limits() { return _limits; }
 
-	/** What versions of a service may get. */
+	/** Roll-outs, which decide what the versions of a service may be sent. */
 	rollout_service &get_rollouts() { return _rollouts; }
 
-	/** Whether this node may send an endpoint one request more now. */
+	/** Whether this node may send one more request to an endpoint now. */
 	bool may_send(const endpoint_identity &p_endpoint, sender_part p_part, instant p_now) { return _limits.may_send(p_endpoint, p_part, p_now); }
 
-	/** This node sent a request. */
+	/** Records that this node sent a request. */
 	void on_sent(const endpoint_identity &p_endpoint, instant p_now) { _limits.on_sent(p_endpoint, p_now); }
 
 	/**
-	 * The head of an answer came.
-	 * @param p_is_signed whether the answer is the endpoint's own beyond doubt.
-	 * @param p_sent_at when its request was sent.
+	 * Applies the notices in the head of an answer.
+	 * @param p_is_signed Whether the answer is verified to come from the endpoint.
+	 * @param p_sent_at Time at which the request was sent.
 	 */
 	void on_answer(const endpoint_identity &p_endpoint, const endpoint_notice &p_notice, bool p_is_signed, instant p_sent_at);
 
 	/**
-	 * When a request may be sent from this node to one of the endpoints open to it; at once when there is none, as that is not
-	 * for limits to judge.
-	 * @param p_before requests that are to be sent before it.
+	 * Predicts when this node may send a request to one of the endpoints open to it. Predicts no wait if there are none, as this
+	 * case isn't decided by limits.
+	 * @param p_before Number of requests that must be sent before it.
 	 */
 	send_prospect predict(router &r_choices, const choice_request &p_request, std::size_t p_before);
 
-	/** Requests that were admitted and not sent yet. */
-	waiting_line &get_line() { return _line; }
+	/** Queue of requests that were admitted and have not been sent yet. */
+	waiting_line &get_line() { return _queue; }
 
-	/** Follows the members of the zone and forgets what is over. To be called often. */
+	/** Updates the senders with the members of the zone and removes expired limits. Must be called often. */
 	void tick(bool p_is_settled);
 
-	/** Writes gauges. */
+	/** Sets the gauges in the metrics. */
 	void report();
 };
 
--- a/main/gateway/send_permit.cpp
+++ b/main/gateway/send_permit.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: send_permit.cpp
- * Whether one request may be sent, as far as endpoints ended under it before.
+ * Decides whether one request may be sent, given the endpoints that crashed while running it.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** When to come back after another node was first to try the request. */
+/** Retry time given to the caller when another node already runs the trial of the request. */
 constexpr duration OTHER_TRIAL_RETRY_AFTER = std::chrono::seconds(1);
 
 } // namespace
@@ -22,8 +22,8 @@
 }
 
 void send_permit::ask(const permit_hooks &p_hooks) {
-	if (_is_kept) {
-		_is_kept = false;
+	if (_has_unused_trial) {
+		_has_unused_trial = false;
 		p_hooks.on_granted(send_care::QUIETEST);
 		return;
 	}
--- a/main/gateway/send_permit.h
+++ b/main/gateway/send_permit.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: send_permit.h
- * Whether one request may be sent, as far as endpoints ended under it before.
+ * Decides whether one request may be sent, given the endpoints that crashed while running it.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,21 +18,21 @@
 /** How a request is sent. */
 enum class send_care {
 	NONE,
-	QUIETEST, ///< To the endpoint with the least work, as it may end.
+	QUIETEST, ///< To the endpoint with the least work, as the request may crash it.
 };
 
-/** What a permit answers. */
+/** Outcomes of a permit request. */
 struct permit_hooks {
 	std::function<void(send_care)> on_granted;
-	std::function<void(duration)> on_refused; ///< Gets the time after which the request may be sent again.
+	std::function<void(duration)> on_refused; ///< Receives the time after which the request may be retried.
 };
 
-/** The permit of one request; destroying it ends its trial. */
+/** Permit of one request. Destroying it ends its trial. */
 class send_permit {
 	crash_guard &_guard;
 	std::function<request_content()> _get_content;
 	std::uint64_t _trial = 0;
-	bool _is_kept = false; ///< The trial was granted and is not spent.
+	bool _has_unused_trial = false; ///< The trial was granted and has not been used.
 
 public:
 	send_permit(crash_guard &p_guard, std::function<request_content()> p_get_content);
@@ -40,13 +40,13 @@
 	send_permit(const send_permit &) = delete;
 	send_permit &operator=(const send_permit &) = delete;
 
-	/** Asks for the next send. One hook is called: at once, or from the loop where other nodes have to be heard first. */
+	/** Requests permission for the next send. One hook is called: immediately, or from the loop if other nodes must be queried first. */
 	void ask(const permit_hooks &p_hooks);
 
-	/** What was granted was not sent, or did not reach an endpoint: if it was the trial, the next send may be it. */
-	void keep() { _is_kept = _trial != 0; }
+	/** Records that a granted send did not reach an endpoint. If it was the trial, the next send may use the trial. */
+	void keep() { _has_unused_trial = _trial != 0; }
 
-	/** The request ended, or is not sent any more. */
+	/** Ends the trial, as the request ended or is not sent any more. */
 	void end();
 };
 
--- a/misc/scripts/mutations.sh
+++ b/misc/scripts/mutations.sh
@@ -111,7 +111,7 @@
 	}
 	_ticked_at" "}
 	_ticked_at" gateway_pause_test
-mutate "gateway: pause" "a node that stood still sends calls before it drops what was handed to it" main/gateway/stage_dispatcher.cpp "return event_loop::now() - _ticked_at <= PAUSE;" "return true;" gateway_pause_test
+mutate "gateway: pause" "a node that stood still sends calls before it drops what was handed to it" main/gateway/stage_dispatcher.cpp "return event_loop::now() - _ticked_at <= STALL_THRESHOLD;" "return true;" gateway_pause_test
 mutate "gateway: lost dispatcher" "its work is not handed to another" main/gateway/stage_dispatcher.cpp "_assign(id, p_vm);" "" gateway_fleet_test
 memory=servers/gateway/crash_memory.cpp
 mutate "requests that end endpoints" "they are never tried" $memory "verdict.crashes < CRASHES_TO_TRY" "verdict.crashes < 100" crash_memory_test
