--- a/misc/scripts/mutations.sh
+++ b/misc/scripts/mutations.sh
@@ -145,7 +145,7 @@
 mutate "named limits" "stage calls are not asked for" main/gateway/pool_caller.cpp " && _guard.may_send(p_replica, sender_part::WHOLE, p_now);" " && p_now > instant{};" gateway_limits_test
 mutate "leaving by word" "it is not heeded" main/gateway/send_guard.cpp "_endpoints.mark_leaving(p_endpoint, \"answer\");" "" gateway_limits_test
 mutate "rest" "it is not heeded" servers/gateway/endpoint_limits.cpp "if (_rests.get_left(p_endpoint, p_now) > duration::zero()) {" "if (false) {" endpoint_rests_test
-mutate "rest" "callers are told another time" main/gateway/admission.cpp "const bool is_resting = !prospect.wait && prospect.rest_left;" "const bool is_resting = false;" gateway_limits_test
+mutate "rest" "callers are told another time" main/gateway/admission.cpp "const bool is_backing_off = !prospect.wait && prospect.rest_left;" "const bool is_backing_off = false;" gateway_limits_test
 mutate "home regions" "they bind only while something else is left" servers/routing/router.cpp "return p_endpoint.is_open() && is_admitted &&" "return p_endpoint.is_open() &&" gateway_places_test
 mutate "log eras" "an answer of another era is read on from" main/gateway/topic_reader.cpp "(is_other_era && !p_is_whole)" "false" gateway_era_test
 mutate "log eras" "what had gone comes back" servers/gateway/endpoint_directory.cpp "return is_recent && went != _went.end() && went->second <= _era_at;" "return false;" gateway_era_test
