--- a/main/gateway/gateway.cpp
+++ b/main/gateway/gateway.cpp
@@ -198,8 +198,8 @@
 	_engines.set_listings(engines);
 	_services.set_listings(others);
 	_dispatcher.set_endpoints(listings);
-	const std::vector<endpoint_identity> engines_replaced = _note_changes(_engines);
-	const std::vector<endpoint_identity> others_replaced = _note_changes(_services);
+	const std::vector<endpoint_identity> engines_replaced = _apply_changes(_engines);
+	const std::vector<endpoint_identity> others_replaced = _apply_changes(_services);
 	// Runs that are ended here are continued at other endpoints, so all lists must be set before.
 	_end_replaced(engines_replaced, _engines);
 	_end_replaced(others_replaced, _services);
@@ -225,7 +225,7 @@
 	}
 }
 
-std::vector<endpoint_identity> gateway::_note_changes(router &r_choices) {
+std::vector<endpoint_identity> gateway::_apply_changes(router &r_choices) {
 	std::vector<endpoint_identity> replaced;
 	for (const endpoint_change &change : r_choices.take_changes()) {
 		const bool is_replaced = change.what == endpoint_change::kind::REPLACED;
--- a/main/gateway/gateway.h
+++ b/main/gateway/gateway.h
@@ -72,7 +72,7 @@
 	void _on_configuration();
 	void _on_endpoints();
 	void _on_evacuation(const evacuation_change &p_change);
-	std::vector<endpoint_identity> _note_changes(router &r_choices);
+	std::vector<endpoint_identity> _apply_changes(router &r_choices);
 	void _end_replaced(const std::vector<endpoint_identity> &p_replaced, const router &p_choices);
 	/** Ends the runs at endpoints whose addresses are now used by other endpoints. */
 	void _end_superseded();
--- a/main/gateway/gateway_fleet.cpp
+++ b/main/gateway/gateway_fleet.cpp
@@ -52,7 +52,7 @@
 		_members(member_digest{ p_context.settings.vm, p_context.incarnation, 0, p_context.settings.zone, p_context.settings.region, _link.get_address(), network_address(), false, false, 0, {}, p_context.settings.cores }),
 		_overlay(p_context.settings.vm, p_context.settings.zone),
 		_store(p_context, p_configuration, p_endpoints, _link, store_sharing_hooks{ [this](const std::string &p_vm) { return is_heard(p_vm); }, [this](const std::string &p_vm) { return _is_in_own_zone(p_vm); }, [this] { _collect_updates(); } }),
-		_help(p_configuration, p_endpoints, _link, p_context.settings.link_bytes),
+		_bootstrap(p_configuration, p_endpoints, _link, p_context.settings.link_bytes),
 		_heartbeat_timer(p_context.loop, [this] { _send_due_heartbeats(); }),
 		_watch_timer(p_context.loop, [this] { _watch(); }) {
 	_link.heartbeat_received().connect([this](const std::string &p_vm, const heartbeat_message &p_message) { _on_heartbeat(p_vm, p_message); });
@@ -108,12 +108,12 @@
 	if (_plan.is_hub) {
 		_send_heartbeats(beat_scope::CLOSE);
 	}
-	_note_changes();
+	_update_liveness();
 	_reach_changed.emit(_unreachable_zones);
 }
 
 bool gateway_fleet::_is_responsive(const std::string &p_vm, instant p_now) const {
-	if (!_contacts.is_heard(p_vm, p_now) || !_link.is_linked(p_vm) || _told.is_lost(p_vm)) {
+	if (!_contacts.is_heard(p_vm, p_now) || !_link.is_linked(p_vm) || _reported.is_lost(p_vm)) {
 		return false;
 	}
 	const member *peer = _members.find(p_vm);
@@ -175,18 +175,18 @@
 		return _find_dispatchers();
 	}
 	const instant now = event_loop::now();
-	std::vector<std::string> nodes = _told.get_dispatchers();
+	std::vector<std::string> nodes = _reported.get_dispatchers();
 	std::erase_if(nodes, [this, now](const std::string &p_vm) {
 		const member *peer = _members.find(p_vm);
-		const bool is_silent = (_link.is_linked(p_vm) || _told.is_down(p_vm, now)) && !_is_responsive(p_vm, now);
-		return is_silent || _told.is_lost(p_vm) || (peer != nullptr && peer->digest.leaving);
+		const bool is_silent = (_link.is_linked(p_vm) || _reported.is_down(p_vm, now)) && !_is_responsive(p_vm, now);
+		return is_silent || _reported.is_lost(p_vm) || (peer != nullptr && peer->digest.leaving);
 	});
 	return nodes;
 }
 
 bool gateway_fleet::knows_fleet() const {
 	if (!_plan.is_hub) {
-		return !_told.get_dispatchers().empty();
+		return !_reported.get_dispatchers().empty();
 	}
 	const instant now = event_loop::now();
 	std::size_t heard = 0;
@@ -229,8 +229,8 @@
 }
 
 std::size_t gateway_fleet::get_live_count() const {
-	const std::size_t told = _plan.is_hub ? 0 : _told.get_nodes();
-	return std::max<std::size_t>({ 1, told, _plan.is_hub ? _count_fleet() : get_live_nodes().size() });
+	const std::size_t reported = _plan.is_hub ? 0 : _reported.get_nodes();
+	return std::max<std::size_t>({ 1, reported, _plan.is_hub ? _count_fleet() : get_live_nodes().size() });
 }
 
 std::vector<std::string> gateway_fleet::get_zone_nodes() const {
@@ -275,7 +275,7 @@
 	_endpoints.drop_told();
 	_collect_updates();
 	_send_heartbeats(beat_scope::DUE);
-	_note_changes();
+	_update_liveness();
 	_request_list();
 	_heartbeat_timer.set(peer_contacts::get_interval(true));
 }
@@ -307,7 +307,7 @@
 		}
 	}
 	_is_starting = get_dispatch_nodes().empty();
-	if (_help.needs_list() || !_configuration.get_current()) {
+	if (_bootstrap.needs_list() || !_configuration.get_current()) {
 		std::erase_if(nodes, [this](const overlay_node &p_node) { return p_node.zone != _context.settings.zone; });
 		_store.set_zone_nodes(nodes);
 	}
@@ -333,17 +333,17 @@
 }
 
 void gateway_fleet::_request_list() {
-	if (!_help.needs_list() || !_context.settings.mechanisms.has(mechanism::ASKED_LISTS)) {
+	if (!_bootstrap.needs_list() || !_context.settings.mechanisms.has(mechanism::ASKED_LISTS)) {
 		return;
 	}
-	std::vector<list_teller> tellers;
+	std::vector<list_teller> list_sources;
 	for (const std::string &vm : _link.get_linked()) {
 		const member *peer = _members.find(vm);
 		if (peer != nullptr && peer->digest.ready && !peer->digest.leaving) {
-			tellers.push_back(list_teller{ vm, peer->digest.zone == _context.settings.zone, peer->digest.cores });
+			list_sources.push_back(list_teller{ vm, peer->digest.zone == _context.settings.zone, peer->digest.cores });
 		}
 	}
-	_help.ask_for_list(tellers, _context.random.get_unit());
+	_bootstrap.ask_for_list(list_sources, _context.random.get_unit());
 }
 
 bool gateway_fleet::_is_in_own_zone(const std::string &p_vm) const {
@@ -359,7 +359,7 @@
 	for (const endpoint_identity &endpoint : _endpoints.get_directory().take_gone()) {
 		_contacts.add_news(endpoint_news{ endpoint, true }, now);
 	}
-	const auto is_back = [this](const endpoint_news &p_news) { return p_news.is_gone && _endpoints.get_directory().contains_start(p_news.endpoint); };
+	const auto is_back = [this](const endpoint_news &p_update) { return p_update.is_gone && _endpoints.get_directory().contains_start(p_update.endpoint); };
 	_contacts.forget_news(is_back, now);
 }
 
@@ -379,10 +379,10 @@
 	return role;
 }
 
-gateway_fleet::beat_texts gateway_fleet::_make_texts(bool p_with_rumours) {
+gateway_fleet::beat_texts gateway_fleet::_make_texts(bool p_with_relayed_digests) {
 	_members.update_self(_ready, _leaving, _configuration.get_version(), {});
 	beat_texts texts;
-	std::vector<member_digest> digests = p_with_rumours ? _members.make_heartbeat() : _members.make_own_heartbeat();
+	std::vector<member_digest> digests = p_with_relayed_digests ? _members.make_heartbeat() : _members.make_own_heartbeat();
 	texts.plain.digests = { digests.front() };
 	texts.rumours.assign(digests.begin() + 1, digests.end());
 	texts.plain.follows = _configuration.is_following();
@@ -443,11 +443,11 @@
 	message.wants_link = p_role.is_relied_on || contains(_plan.wanted, p_vm) || _kept_until.contains(p_vm) || _is_starting;
 	message.next_in = peer_contacts::get_interval(p_role.is_close);
 	_add_members(p_vm, p_texts, message);
-	for (const endpoint_news &news : _contacts.on_sent(p_vm, p_role.is_close, p_role.hears_news, event_loop::now())) {
-		if (news.is_gone) {
-			message.gone.push_back(news.endpoint);
+	for (const endpoint_news &update : _contacts.on_sent(p_vm, p_role.is_close, p_role.hears_news, event_loop::now())) {
+		if (update.is_gone) {
+			message.gone.push_back(update.endpoint);
 		} else {
-			message.marks.push_back(leaving_mark{ news.endpoint.vm, news.endpoint.incarnation });
+			message.marks.push_back(leaving_mark{ update.endpoint.vm, update.endpoint.incarnation });
 		}
 	}
 	_context.metrics.count("heartbeats_sent");
@@ -475,12 +475,12 @@
 	}
 	_feed.restart(p_vm);
 	_greeted.erase(p_vm);
-	_told.on_heard(p_vm);
+	_reported.on_heard(p_vm);
 	_send_heartbeat(p_vm, _get_role(p_vm, event_loop::now()), _make_texts(false));
 }
 
 void gateway_fleet::_on_link_down(const std::string &p_vm) {
-	_told.on_link_down(p_vm, event_loop::now());
+	_reported.on_link_down(p_vm, event_loop::now());
 	_set_failed(p_vm, peer_loss::LINK_BROKEN);
 	if (p_vm == get_relied_on() || _plan.is_hub) {
 		_plan_links();
@@ -515,7 +515,7 @@
 	return peer != nullptr && peer->digest.leaving;
 }
 
-void gateway_fleet::_note_changes() {
+void gateway_fleet::_update_liveness() {
 	const instant now = event_loop::now();
 	for (const auto &[vm, entry] : _members.get_members()) {
 		// A stopping node still completes work assigned to it and waits for work that it assigned, so it counts as failed only once it
@@ -574,9 +574,9 @@
 	if (!p_message.is_total || p_vm != get_relied_on()) {
 		return;
 	}
-	for (const std::string &vm : _told.take(p_message.dispatchers, p_message.fleet_nodes)) {
+	for (const std::string &vm : _reported.take(p_message.dispatchers, p_message.fleet_nodes)) {
 		if (vm != get_vm() && !_is_leaving(vm) && !p_message.dispatchers.empty()) {
-			_told.set_lost(vm);
+			_reported.set_lost(vm);
 			_set_failed(vm, peer_loss::TOLD_BY_HUB);
 		}
 	}
@@ -587,7 +587,7 @@
 	const instant now = event_loop::now();
 	_contacts.on_heard(p_vm, p_message.next_in, now);
 	_contacts.on_needs(p_vm, p_message.wants_link, p_message.relies_on_you, now);
-	_told.on_heard(p_vm);
+	_reported.on_heard(p_vm);
 	_merge_members(p_message);
 	if (!_plan.is_hub && p_message.relies_on_you) {
 		_plan_links();
@@ -609,10 +609,10 @@
 	if (peer != nullptr) {
 		_context.zones.on_node_heard(peer->digest.zone, now);
 		if (_plan.is_hub || _is_starting) {
-			_help.tell_if_unready(peer->digest);
+			_bootstrap.tell_if_unready(peer->digest);
 		}
 		if (_plan.is_hub || _is_starting || _is_in_own_zone(p_vm)) {
-			_help.ask_if_newer(peer->digest);
+			_bootstrap.ask_if_newer(peer->digest);
 		}
 	}
 }
--- a/main/gateway/gateway_fleet.h
+++ b/main/gateway/gateway_fleet.h
@@ -71,8 +71,8 @@
 	fleet_overlay _overlay;
 	overlay_plan _plan;
 	store_sharing _store;
-	newcomer_help _help;
-	told_fleet _told;
+	newcomer_help _bootstrap;
+	told_fleet _reported;
 	std::map<std::string, bool> _was_live;
 	std::map<std::string, std::uint32_t> _zone_nodes; ///< Number of live nodes in a hub's zone, by hub.
 	std::map<std::string, instant> _kept_until; ///< Nodes to which a link is kept for stage work, with the time until which it is kept.
@@ -97,14 +97,14 @@
 	void _log_dispatchers();
 	void _set_unreachable_zones(std::set<std::string> p_zones);
 	peer_role _get_role(const std::string &p_vm, instant p_now) const;
-	beat_texts _make_texts(bool p_with_rumours);
+	beat_texts _make_texts(bool p_with_relayed_digests);
 	void _add_members(const std::string &p_vm, const beat_texts &p_texts, heartbeat_message &r_message);
 	void _send_heartbeat(const std::string &p_vm, const peer_role &p_role, const beat_texts &p_texts);
 	void _send_heartbeats(beat_scope p_scope);
 	void _plan_links();
 	void _dial();
 	void _request_list();
-	void _note_changes();
+	void _update_liveness();
 	void _set_live(const std::string &p_vm);
 	void _set_failed(const std::string &p_vm, peer_loss p_cause);
 	bool _is_leaving(const std::string &p_vm) const;
--- a/main/gateway/gateway_request.cpp
+++ b/main/gateway/gateway_request.cpp
@@ -81,7 +81,7 @@
 }
 
 void gateway_request::start() {
-	_request.exchange->set_on_gone([this] { _on_caller_gone(); });
+	_request.exchange->set_on_gone([this] { _on_caller_disconnected(); });
 	_request.exchange->set_on_flow([this](bool p_may_send) { _services.context.channels.set_reading(_exchange, p_may_send); });
 	_give_up_timer.set_at(_give_up_at);
 	_queue_position = _services.guard.get_line().join(_request.service);
@@ -91,16 +91,16 @@
 		_send();
 		return;
 	}
-	_request_permit([this](send_care p_care) { _begin_stages(p_care); });
+	_request_permit([this](send_care p_mode) { _begin_stages(p_mode); });
 }
 
 void gateway_request::_request_permit(std::function<void(send_care)> p_on_granted) {
 	_permit.ask(permit_hooks{ std::move(p_on_granted), [this](duration p_retry_after) { _refuse(reason::ENDS_ENDPOINTS, p_retry_after); } });
 }
 
-void gateway_request::_begin_stages(send_care p_care) {
+void gateway_request::_begin_stages(send_care p_mode) {
 	_permit.keep();
-	_stages.begin(p_care != send_care::NONE);
+	_stages.begin(p_mode != send_care::NONE);
 }
 
 bool gateway_request::_may_repeat_run() const {
@@ -134,7 +134,7 @@
 		_give_up(reason::DEADLINE_PASSED);
 		return;
 	}
-	_request_permit([this](send_care p_care) { _send_with(p_care); });
+	_request_permit([this](send_care p_mode) { _send_with(p_mode); });
 }
 
 void gateway_request::_on_no_endpoint_available() {
@@ -158,10 +158,10 @@
 	_retry_timer.set(std::clamp(wait, RETRY_PAUSE, LIMIT_PAUSE));
 }
 
-void gateway_request::_send_with(send_care p_care) {
+void gateway_request::_send_with(send_care p_mode) {
 	const instant now = event_loop::now();
 	router &choices = get_router(_services, _request);
-	const std::optional<endpoint_id> chosen = p_care == send_care::QUIETEST ? _choice.choose_quietest() : _choice.choose(_stages.get_results_zone());
+	const std::optional<endpoint_id> chosen = p_mode == send_care::QUIETEST ? _choice.choose_quietest() : _choice.choose(_stages.get_results_zone());
 	if (!chosen) {
 		_on_no_endpoint_available();
 		return;
@@ -530,7 +530,7 @@
 	}
 }
 
-void gateway_request::_on_caller_gone() {
+void gateway_request::_on_caller_disconnected() {
 	if (_exchange != 0) {
 		_services.context.channels.cancel(_exchange);
 		_exchange = 0;
--- a/main/gateway/gateway_request.h
+++ b/main/gateway/gateway_request.h
@@ -65,9 +65,9 @@
 	/** Records the end of the run at the endpoint of the latest send. */
 	void _end_run(const outcome &p_result, duration p_elapsed);
 	void _request_permit(std::function<void(send_care)> p_on_granted);
-	void _begin_stages(send_care p_care);
+	void _begin_stages(send_care p_mode);
 	void _send();
-	void _send_with(send_care p_care);
+	void _send_with(send_care p_mode);
 	/** Handles that no endpoint can be sent to now: waits if one is predicted to become available in time, otherwise refuses. */
 	void _on_no_endpoint_available();
 	void _on_head(const http_head &p_head);
@@ -93,7 +93,7 @@
 	void _fail(reason p_reason);
 	void _on_give_up_time();
 	void _give_up(reason p_reason);
-	void _on_caller_gone();
+	void _on_caller_disconnected();
 	void _finish(const outcome &p_result, int p_status);
 
 public:
--- a/main/gateway/pool_caller.cpp
+++ b/main/gateway/pool_caller.cpp
@@ -258,40 +258,40 @@
 	const activity_scope scope(_context.loop, activity::STAGE_RELEASES);
 	const instant now = event_loop::now();
 	std::erase_if(_to_release, [this, p_min_age, now](const auto &p_entry) {
-		const auto &[maker, pending] = p_entry;
-		if (now - pending.since < p_min_age || !_may_release(maker, now)) {
+		const auto &[producer, pending] = p_entry;
+		if (now - pending.since < p_min_age || !_may_release(producer, now)) {
 			return false;
 		}
-		_send_release(maker, pending.handles);
+		_send_release(producer, pending.handles);
 		return true;
 	});
 }
 
-bool pool_caller::_may_release(const std::string &p_maker, instant p_now) {
+bool pool_caller::_may_release(const std::string &p_producer, instant p_now) {
 	const endpoint_limits &limits = _guard.get_limits();
-	const std::optional<endpoint_identity> maker = limits.is_any_bounded() ? limits.find_at(parse_network_address(p_maker)) : std::nullopt;
-	if (!maker) {
+	const std::optional<endpoint_identity> producer = limits.is_any_bounded() ? limits.find_at(parse_network_address(p_producer)) : std::nullopt;
+	if (!producer) {
 		return true;
 	}
-	if (!_guard.may_send(*maker, sender_part::WHOLE, p_now)) {
+	if (!_guard.may_send(*producer, sender_part::WHOLE, p_now)) {
 		return false;
 	}
-	_guard.on_sent(*maker, p_now);
+	_guard.on_sent(*producer, p_now);
 	return true;
 }
 
-void pool_caller::_send_release(const std::string &p_maker, const std::vector<std::string> &p_handles) {
+void pool_caller::_send_release(const std::string &p_producer, const std::vector<std::string> &p_handles) {
 	channel_request request;
-	request.endpoint.vm = "release/" + p_maker;
-	request.to = parse_network_address(p_maker);
+	request.endpoint.vm = "release/" + p_producer;
+	request.to = parse_network_address(p_producer);
 	request.bytes = write_release(request.to, p_handles);
 	request.longest_idle = MAX_REPLICA_IDLE_TIME;
 	channel_hooks hooks;
-	hooks.on_end = [this, p_maker](channel_end p_end) {
+	hooks.on_end = [this, p_producer](channel_end p_end) {
 		if (p_end != channel_end::COMPLETE) {
 			// The results expire by themselves, but use memory until then.
 			_context.metrics.count("releases_failed");
-			_context.log.write_request(log_line("release_failed").add("maker", p_maker).add("end", get_name(p_end)));
+			_context.log.write_request(log_line("release_failed").add("maker", p_producer).add("end", get_name(p_end)));
 		}
 	};
 	_context.channels.start(std::move(request), std::move(hooks));
--- a/main/gateway/pool_caller.h
+++ b/main/gateway/pool_caller.h
@@ -67,8 +67,8 @@
 	void _give_up_overdue();
 	/** Sends releases that have waited for at least p_min_age, if their producers accept them now. */
 	void _send_releases(duration p_min_age);
-	bool _may_release(const std::string &p_maker, instant p_now);
-	void _send_release(const std::string &p_maker, const std::vector<std::string> &p_handles);
+	bool _may_release(const std::string &p_producer, instant p_now);
+	void _send_release(const std::string &p_producer, const std::vector<std::string> &p_handles);
 
 public:
 	pool_caller(gateway_context &p_context, send_guard &p_guard, std::string p_name, pool_caller_hooks p_hooks);
--- a/main/gateway/send_guard.cpp
+++ b/main/gateway/send_guard.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-/** Limits told in one message; with five messages a second they stay within a node's budget for control. */
+/** Maximum number of limits in one message. At five messages a second they stay within a node's budget for control traffic. */
 constexpr std::size_t MOST_RECORDS = 60;
-/** Limits told to a node that is linked anew. */
+/** Maximum number of limits sent over a new link. */
 constexpr std::size_t MAX_KNOWN_RECORDS = 500;
 
 news_digest<limit_record> make_digest() {
@@ -55,11 +55,11 @@
 		_context.log.write_request(log_line("endpoint_asks_rest").add("endpoint", p_endpoint.vm).add("rest_ms", p_notice.rest).add("sent_before_ms", now - p_sent_at));
 	}
 	_log_change(_limits.get_named().on_answer(p_endpoint, p_notice, p_is_signed, p_sent_at, now), p_endpoint, "answer");
-	const std::vector<limit_record> news = _limits.get_named().take_news();
-	for (const limit_record &record : news) {
+	const std::vector<limit_record> updates = _limits.get_named().take_news();
+	for (const limit_record &record : updates) {
 		_relay.add_own(record);
 	}
-	if (!news.empty()) {
+	if (!updates.empty()) {
 		_relay.send_soon();
 	}
 }
@@ -98,16 +98,16 @@
 
 void send_guard::_on_limits_reported(const std::string &p_vm, const tell_limits_message &p_message) {
 	const instant now = event_loop::now();
-	std::vector<limit_record> news;
-	for (const told_limit &told : p_message.limits) {
-		const limit_record record{ told.endpoint, told.rate, now - told.age };
+	std::vector<limit_record> updates;
+	for (const told_limit &reported : p_message.limits) {
+		const limit_record record{ reported.endpoint, reported.rate, now - reported.age };
 		const limit_change change = _limits.get_named().take(record, now);
 		if (change != limit_change::NONE) {
 			_log_change(change, record.endpoint, "peer/" + p_vm);
-			news.push_back(record);
+			updates.push_back(record);
 		}
 	}
-	_relay.add_told(p_vm, news);
+	_relay.add_told(p_vm, updates);
 	_relay.send_soon();
 }
 
--- a/main/gateway/stage_dispatcher.cpp
+++ b/main/gateway/stage_dispatcher.cpp
@@ -340,14 +340,14 @@
 	own.hook(p_result);
 }
 
-void stage_dispatcher::_report_used_results(const std::string &p_pool, std::map<std::string, own_result> &r_held) {
-	if (r_held.empty() || !_context.settings.mechanisms.has(mechanism::TOLD_RESULTS)) {
+void stage_dispatcher::_report_used_results(const std::string &p_pool, std::map<std::string, own_result> &r_results) {
+	if (r_results.empty() || !_context.settings.mechanisms.has(mechanism::TOLD_RESULTS)) {
 		return;
 	}
 	const std::string node = _choose_node(p_pool);
 	tell_results_message message;
 	message.pool = p_pool;
-	for (const auto &[handle, result] : r_held) {
+	for (const auto &[handle, result] : r_results) {
 		if (result.reported_to != node) {
 			message.handles.push_back(handle);
 			message.result_bytes.push_back(result.bytes);
@@ -362,7 +362,7 @@
 	} else if (!_fleet.get_link().send(node, message)) {
 		return;
 	}
-	for (auto &[handle, result] : r_held) {
+	for (auto &[handle, result] : r_results) {
 		result.reported_to = node;
 	}
 	_context.log.write(log_line("results_told").add("pool", p_pool).add("node", node).add("count", static_cast<long long>(message.handles.size())));
@@ -466,9 +466,9 @@
 }
 
 std::string stage_dispatcher::_remove_used_result(const std::string &p_pool, const std::string &p_handle) {
-	for (auto &[name, held] : _used_results) {
-		if (held.contains(p_handle) && parse_shard_name(name).pool == p_pool) {
-			held.erase(p_handle);
+	for (auto &[name, used_results] : _used_results) {
+		if (used_results.contains(p_handle) && parse_shard_name(name).pool == p_pool) {
+			used_results.erase(p_handle);
 			return name;
 		}
 	}
@@ -529,8 +529,8 @@
 	_update_no_dispatcher_since(_get_view(), now);
 	_keep_links();
 	_assign_waiting();
-	for (auto &[name, held] : _used_results) {
-		_report_used_results(name, held);
+	for (auto &[name, used_results] : _used_results) {
+		_report_used_results(name, used_results);
 	}
 	_release_results_of_failed();
 	for (auto &[name, entry] : _pools) {
--- a/main/gateway/stage_dispatcher.h
+++ b/main/gateway/stage_dispatcher.h
@@ -116,7 +116,7 @@
 	void _on_ended(pool_entry &p_entry, const work_result &p_result);
 	void _tick();
 	void _drop_work_after_stall();
-	void _report_used_results(const std::string &p_pool, std::map<std::string, own_result> &r_held);
+	void _report_used_results(const std::string &p_pool, std::map<std::string, own_result> &r_results);
 	void _on_results_reported(const std::string &p_owner, const tell_results_message &p_message);
 	void _release_results_of_failed();
 	void _on_reach_changed(const std::set<std::string> &p_zones);
