--- a/main/gateway/gateway_request.h
+++ b/main/gateway/gateway_request.h
@@ -104,7 +104,7 @@
 
 	void start();
 
-	/** Handles a change of the unreachable zones: a request that waits for an answer from one of them is sent elsewhere if permitted. */
+	/** Sets the unreachable zones. If the request waits for an answer from one of them, it is sent elsewhere if permitted. */
 	void on_reach_changed(const std::set<std::string> &p_unreached_zones);
 
 	/** Sends the final answer to a request whose answer has not started, as this node is about to exit. */
--- a/main/gateway/stage_dispatcher.h
+++ b/main/gateway/stage_dispatcher.h
@@ -76,7 +76,7 @@
 	timer _tick_timer;
 	send_guard &_guard;
 	instant _ticked_at{};
-	instant _no_dispatcher_since{}; ///< Since when this node knows no dispatching node; not set while it knows one.
+	instant _no_dispatcher_since{}; ///< Since when this node, as a follower, has known no dispatching node; otherwise not set.
 	bool _pump_posted = false;
 	std::function<void(const lost_run &)> _on_run_lost;
 	std::set<std::string> _evacuated_zones;
@@ -92,7 +92,7 @@
 	/** Removes a result from those that this node uses, and returns the shard whose dispatcher knows it. */
 	std::string _remove_used_result(const std::string &p_pool, const std::string &p_handle);
 	dispatch_view _get_view() const;
-	/** Records since when this node knows no dispatching node. */
+	/** Updates the time since which this node, as a follower, has known no dispatching node. */
 	void _update_no_dispatcher_since(const dispatch_view &p_view, instant p_now);
 	std::string _choose_node(const std::string &p_pool) const;
 	void _assign(std::uint64_t p_id, const std::string &p_except);
