--- a/misc/scripts/mutations.sh
+++ b/misc/scripts/mutations.sh
@@ -107,11 +107,11 @@
 mutate "gateway: retry budget" "it is not spent" servers/gateway/retry_window.cpp "_get_bucket(p_bounds, p_now).repeats += 1.0;" "" gateway_state_test
 mutate "gateway: named endpoint" "a send does not say whom it is for" platform/request_codec.cpp "add_header(text, ENDPOINT, p_send.endpoint);" "" gateway_test
 mutate "gateway: planned stop" "the loop ends while requests run" main/gateway/gateway.cpp "const bool is_over = since >= grace - STOP_MARGIN;" "const bool is_over = true;" gateway_fleet_test
-mutate "gateway: pause" "a node that stood still goes on with what was handed to it" main/gateway/stage_dispatcher.cpp "_forget_after_pause();
+mutate "gateway: pause" "a node that stood still goes on with what was handed to it" main/gateway/stage_dispatcher.cpp "_drop_work_after_stall();
 	}
 	_ticked_at" "}
 	_ticked_at" gateway_pause_test
-mutate "gateway: pause" "a node that stood still sends calls before it drops what was handed to it" main/gateway/stage_dispatcher.cpp "return event_loop::now() - _ticked_at <= PAUSE;" "return true;" gateway_pause_test
+mutate "gateway: pause" "a node that stood still sends calls before it drops what was handed to it" main/gateway/stage_dispatcher.cpp "return event_loop::now() - _ticked_at <= STALL_THRESHOLD;" "return true;" gateway_pause_test
 mutate "gateway: lost dispatcher" "its work is not handed to another" main/gateway/stage_dispatcher.cpp "_assign(id, p_vm);" "" gateway_fleet_test
 memory=servers/gateway/crash_memory.cpp
 mutate "requests that end endpoints" "they are never tried" $memory "verdict.crashes < CRASHES_TO_TRY" "verdict.crashes < 100" crash_memory_test
@@ -119,7 +119,7 @@
 mutate "requests that end endpoints" "two trials at once" $memory "return p_entry.first != p_trial && (is_sent_and_open || comes_first);" "return false;" crash_memory_test
 mutate "requests that end endpoints" "a connection that ends alone blames its run" servers/gateway/lost_runs.cpp "if (p_end == probe_end::REFUSED) {" "if (p_end != probe_end::SILENT) {" lost_runs_test
 mutate "nodes that stood still" "peers are silent by one's own absence" servers/membership/peer_contacts.cpp "*last_time == instant{} ? duration::zero() : p_stall" "duration::zero()" gateway_suspension_test
-mutate "nodes that stood still" "requests are decided on before what changed is known" main/gateway/gateway.cpp "return !_configuration.is_known_since(_away_until) || !_endpoints.is_known_since(_away_until);" "return false;" gateway_suspension_test
+mutate "nodes that stood still" "requests are decided on before what changed is known" main/gateway/gateway.cpp "return !_configuration.is_known_since(_stalled_until) || !_endpoints.is_known_since(_stalled_until);" "return false;" gateway_suspension_test
 mutate "nodes that stood still" "silence is judged before what came is read" drivers/event_loop.cpp "	_is_reading_first = true;
 " "" event_loop_test
 mutate "one address, one endpoint" "the earlier entry stays" servers/gateway/endpoint_directory.cpp "		_supersede_at_address(p_listing.vm);
@@ -145,7 +145,7 @@
 mutate "named limits" "stage calls are not asked for" main/gateway/pool_caller.cpp " && _guard.may_send(p_replica, sender_part::WHOLE, p_now);" " && p_now > instant{};" gateway_limits_test
 mutate "leaving by word" "it is not heeded" main/gateway/send_guard.cpp "_endpoints.mark_leaving(p_endpoint, \"answer\");" "" gateway_limits_test
 mutate "rest" "it is not heeded" servers/gateway/endpoint_limits.cpp "if (_backoffs.get_left(p_endpoint, p_now) > duration::zero()) {" "if (false) {" endpoint_rests_test
-mutate "rest" "callers are told another time" main/gateway/admission.cpp "const bool is_resting = !prospect.wait && prospect.rest_left;" "const bool is_resting = false;" gateway_limits_test
+mutate "rest" "callers are told another time" main/gateway/admission.cpp "const bool is_backing_off = !prospect.wait && prospect.rest_left;" "const bool is_backing_off = false;" gateway_limits_test
 mutate "home regions" "they bind only while something else is left" servers/routing/router.cpp "return p_endpoint.is_open() && is_admitted &&" "return p_endpoint.is_open() &&" gateway_places_test
 mutate "log eras" "an answer of another era is read on from" main/gateway/topic_reader.cpp "(is_other_era && !p_is_whole)" "false" gateway_era_test
 mutate "log eras" "what had gone comes back" servers/gateway/endpoint_directory.cpp "return is_recent && removed != _removed_at.end() && removed->second <= _era_at;" "return false;" gateway_era_test
