--- a/main/gateway/configuration_follower.cpp
+++ b/main/gateway/configuration_follower.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: configuration_follower.cpp
- * Keeps the newest configuration, from the store or from peers.
+ * Keeps the newest configuration, as received from the store or from peers.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,29 +18,32 @@
 namespace {
 
 /**
- * Of the time that a change may take, what is left after a waiting read: an overdue answer is noticed (0.3 s), peers that
- * leave the following to this node are told (0.2 s), they read for themselves and parse the version.
+ * Part of the time allowed for a change that is reserved after a long-polling read: to detect an overdue answer (0.3 s), to
+ * notify the peers for which this node reads (0.2 s), and for these to read for themselves and parse the version.
  */
 constexpr duration AFTER_WAIT = std::chrono::milliseconds(1000);
-constexpr duration SHORTEST_WAIT = std::chrono::milliseconds(200);
-/** A store that is fifty times slower than usual answers within 0.2 s. */
+constexpr duration MIN_WAIT = std::chrono::milliseconds(200);
+/** An answer later than this is overdue. A store that is fifty times slower than typical answers within 0.2 s. */
 constexpr duration OVERDUE = std::chrono::milliseconds(300);
-/** While the store is silent; a version is in force this long after its return at the latest. */
+/** Interval between repeated reads while the store does not answer. A version is in force at most this long after its return. */
 constexpr duration REPEAT = std::chrono::milliseconds(700);
-/** Of a node whose reader is turned away as well; it reads this often within the time that a change may take. */
-constexpr int RETRIES_IN_TIME = 3;
+/** Number of reads within the time allowed for a change by a node for which a peer reads, when the store rejects that peer too. */
+constexpr int RETRIES_PER_APPLY_TIME = 3;
 constexpr duration RETRY_INTERVAL = std::chrono::milliseconds(300);
 
-/** A node whose zone has a reader is told the configuration by its peers; a document of hundreds of routes is not read by each. */
-constexpr duration TOLD_AT_START = std::chrono::milliseconds(1000);
-/** Between nodes of a zone that read it one after the other while nobody tells them. */
-constexpr duration PLACE_STEP = std::chrono::milliseconds(500);
+/**
+ * Time for which a node that has a reader in its zone waits for its peers to send the configuration, so that not every node reads
+ * a document of hundreds of routes.
+ */
+constexpr duration FIRST_READ_DELAY = std::chrono::milliseconds(1000);
+/** Interval between the first reads of nodes of a zone, which read one after the other while no peer sends the configuration. */
+constexpr duration FIRST_READ_STEP = std::chrono::milliseconds(500);
 
 read_times get_times(duration p_apply) {
-	return read_times{ std::max(SHORTEST_WAIT, p_apply - AFTER_WAIT), OVERDUE, REPEAT, RETRY_INTERVAL, p_apply / RETRIES_IN_TIME, TOLD_AT_START, PLACE_STEP };
+	return read_times{ std::max(MIN_WAIT, p_apply - AFTER_WAIT), OVERDUE, REPEAT, RETRY_INTERVAL, p_apply / RETRIES_PER_APPLY_TIME, FIRST_READ_DELAY, FIRST_READ_STEP };
 }
 
-/** What the operator writes there is in force within the shorter of the times for each. */
+/** Returns the shorter of the two allowed times, as the topic carries both configurations and evacuations. */
 duration get_apply_time(const gateway_settings &p_settings) {
 	return std::min(p_settings.configuration_apply, p_settings.evacuation_apply);
 }
@@ -51,15 +54,15 @@
 		_context(p_context),
 		_reader(p_context, get_configuration_topic(), "store_configuration", get_times(get_apply_time(p_context.settings)),
 				topic_reader_hooks{
-						[this](const store_answer &p_answer, bool p_is_whole) { _take_records(p_answer, p_is_whole); },
+						[this](const store_answer &p_answer, bool p_is_whole) { _apply_records(p_answer, p_is_whole); },
 						[] {},
 						[] {},
 						[this](log_line &r_line) { r_line.add("version", static_cast<long long>(get_version())); } }) {
 }
 
-void configuration_follower::_take_records(const store_answer &p_answer, bool p_is_whole) {
+void configuration_follower::_apply_records(const store_answer &p_answer, bool p_is_whole) {
 	_topic_read.emit(p_answer, p_is_whole);
-	// Versions rise with the offset, and parsing one takes milliseconds: what the newest replaces is not parsed.
+	// Versions increase with the offset, and parsing one takes milliseconds, so that only the newest valid one is parsed.
 	for (auto record = p_answer.records.rbegin(); record != p_answer.records.rend(); ++record) {
 		if (record->key == get_configuration_key() && record->value && offer(*record->value, "store")) {
 			break;
--- a/main/gateway/configuration_follower.h
+++ b/main/gateway/configuration_follower.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: configuration_follower.h
- * Keeps the newest configuration, from the store or from peers.
+ * Keeps the newest configuration, as received from the store or from peers.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -19,65 +19,68 @@
 
 namespace calicoscale {
 
-/** Follows the configuration's topic by waiting reads. Only a higher version replaces the one in force. */
+/** Follows the configuration's topic by long-polling reads. Only a higher version replaces the one in force. */
 class configuration_follower {
 	gateway_context &_context;
 	configuration_reader _versions; ///< Holds the version in force.
 	topic_reader _reader;
-	bool _is_covered = false;
-	bool _is_proven = false; ///< The store answered since this node began to follow it.
+	bool _is_covered = false; ///< Peers follow the configuration for this node.
+	bool _is_proven = false; ///< The store has answered since this node began to follow it.
 	sigc::signal<void()> _changed;
 	sigc::signal<void(const store_answer &, bool)> _topic_read;
 
-	void _take_records(const store_answer &p_answer, bool p_is_whole);
+	void _apply_records(const store_answer &p_answer, bool p_is_whole);
 
 public:
 	explicit configuration_follower(gateway_context &p_context);
 
-	/** Begins to read, in a moment if peers may tell before. */
+	/** Schedules the first read: after a random delay if there are peers, which may send the configuration earlier. */
 	void start() { _reader.read_first(); }
 
-	/** Place of this node in the order in which nodes of its zone read for the first time. */
-	void set_place(std::size_t p_place) { _reader.set_place(p_place); }
+	/** Sets the rank of this node in the order in which nodes of its zone read for the first time. */
+	void set_place(std::size_t p_rank) { _reader.set_place(p_rank); }
 
-	/** A peer reads for this node as soon as the store answers it. */
+	/** Sets whether a peer reads for this node as soon as the store answers that peer. */
 	void set_patient(bool p_is_patient) { _reader.set_patient(p_is_patient); }
 
 	/**
 	 * Puts a document in force if its version is higher.
-	 * @param p_source who told it, for the log.
-	 * @return whether it is valid, also if its version is not higher.
+	 * @param p_source sender of the document, for the log.
+	 * @return whether the document is valid, even if its version is not higher.
 	 */
 	bool offer(const std::string &p_document, std::string_view p_source);
 
-	/** The version in force; null before the first is known. */
+	/** Returns the version in force, or null if none is known yet. */
 	const std::shared_ptr<const gateway_configuration> &get_current() const { return _versions.get_current(); }
-	/** Its text, for peers. */
+	/** Returns the text of the version in force, to be sent to peers. */
 	const std::string &get_document() const { return _versions.get_text(); }
 	std::uint64_t get_version() const { return get_current() ? get_current()->version : 0; }
 
-	/** How long ago the store last answered a read of the configuration; since the start if it has not yet. */
+	/** Time since the store last answered a read of the configuration, or since the start if it has not answered yet. */
 	duration get_unconfirmed_time(instant p_now) const { return _reader.get_unconfirmed_time(p_now); }
 
-	/** This node was away: asks at once for what changed meanwhile. */
+	/** Reads the changes made during a stall of this process immediately. */
 	void catch_up() { _reader.read_after_absence(); }
 
-	/** Whether the configuration is known as it was at a moment. */
+	/** Whether the known configuration was confirmed at or after p_moment. */
 	bool is_known_since(instant p_moment) const { return _reader.is_answered_since(p_moment); }
 
-	/** Peers that are heard follow the configuration, so that this node need not. Told often; the last time counts as an answer. */
+	/**
+	 * Sets whether responsive peers follow the configuration, so that this node need not. Called often; each call with true counts
+	 * as an answer of the store.
+	 */
 	void set_covered(bool p_is_covered);
 
-	/** Whether this node follows the store itself and was answered in time. */
+	/** Whether this node follows the store itself and the store answers in time. */
 	bool is_following() const { return !_is_covered && _is_proven && _reader.is_answered(); }
 
 	/**
-	 * Emitted with each answer of the store and whether it is the newest record of each key, before a version in it is in force:
-	 * what else the operator wrote there is known to whoever acts on the version.
+	 * Emitted for each answer of the store, with whether it is a snapshot. It is emitted before a version in the answer comes into
+	 * force, so that the handlers of changed() already know the other records of that answer.
 	 */
 	sigc::signal<void(const store_answer &, bool)> &topic_read() { return _topic_read; }
 
-	/** Emitted when a new version is in force. */
+	/** Emitted when a new version has come into force. */
 	sigc::signal<void()> &changed() { return _changed; }
 };
 
--- a/main/gateway/topic_reader.cpp
+++ b/main/gateway/topic_reader.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: topic_reader.cpp
- * Reads one topic of the store, again and again.
+ * Follows one topic of the store by repeated reads.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -15,12 +15,13 @@
 namespace {
 
 /**
- * Of all nodes of a fleet that starts at one moment the first to read tell the others, who need not read then: a link is made
- * and a list told over two hubs within some 0.3 s. A node that starts alone is told within a tenth of that.
+ * First reads are spread over this time. When all nodes of a fleet start at once, the first to read send the data to the others,
+ * which then need not read: it takes about 0.3 s to set up a link and send a list over two hubs. A node that starts alone gets
+ * the data within a tenth of that.
  */
 constexpr duration FIRST_READ_SPREAD = std::chrono::milliseconds(500);
-/** Who reads for whom changes while nodes find each other. */
-constexpr duration FIRST_WAIT_STEP = std::chrono::milliseconds(100);
+/** Interval at which the first wait is checked again, as the node that reads for this one may change while nodes connect. */
+constexpr duration FIRST_WAIT_CHECK_INTERVAL = std::chrono::milliseconds(100);
 
 } // namespace
 
@@ -31,23 +32,23 @@
 		_hooks(std::move(p_hooks)),
 		_schedule(p_times),
 		_started_at(event_loop::now()),
-		_read_since(_started_at),
-		_answered_at(_read_since),
+		_read_began_at(_started_at),
+		_answered_at(_read_began_at),
 		_timer(p_context.loop, [this] { _check(); }) {
 }
 
 void topic_reader::read_first() {
-	const double part = _context.settings.peers.empty() ? 0.0 : _context.random.get_unit();
-	read_in(from_seconds(part * to_seconds(FIRST_READ_SPREAD)));
+	const double fraction = _context.settings.peers.empty() ? 0.0 : _context.random.get_unit();
+	read_in(from_seconds(fraction * to_seconds(FIRST_READ_SPREAD)));
 }
 
 void topic_reader::read() {
-	_read_since = event_loop::now();
+	_read_began_at = event_loop::now();
 	_send(_schedule.begin());
 }
 
 void topic_reader::read_after_absence() {
-	_read_since = event_loop::now();
+	_read_began_at = event_loop::now();
 	_send(_schedule.begin_after_absence());
 }
 
@@ -84,30 +85,30 @@
 	if (!_schedule.is_reading()) {
 		const duration wait = _was_loaded ? duration::zero() : _schedule.get_first_wait(event_loop::now() - _started_at);
 		if (wait > duration::zero()) {
-			_timer.set(std::min(wait, FIRST_WAIT_STEP));
+			_timer.set(std::min(wait, FIRST_WAIT_CHECK_INTERVAL));
 			return;
 		}
 		read();
 		return;
 	}
-	const std::optional<planned_read> beside = _schedule.check();
-	if (!beside) {
-		// One of them times out soon, and its place must not stay empty until all have.
+	const std::optional<planned_read> repeated_read = _schedule.check();
+	if (!repeated_read) {
+		// One of the open reads times out soon. This check then replaces it without waiting for the others to time out.
 		_timer.set(_schedule.get_repeat());
 		return;
 	}
 	_context.metrics.count("store_reads_repeated");
-	_send(*beside);
+	_send(*repeated_read);
 }
 
 void topic_reader::_send(const planned_read &p_read) {
 	const bool is_whole = !_is_loaded;
-	const auto take = [this, reading = p_read.reading, is_whole](const store_answer &p_answer) { _on_answer(p_answer, reading, is_whole); };
+	const auto on_answer = [this, reading = p_read.reading, is_whole](const store_answer &p_answer) { _on_answer(p_answer, reading, is_whole); };
 	_timer.set(p_read.check_in);
 	if (is_whole) {
-		_context.store.read_newest(_topic, p_read.on_new_connection, take, [this, p_read] { _on_page(p_read); });
+		_context.store.read_newest(_topic, p_read.on_new_connection, on_answer, [this, p_read] { _on_page(p_read); });
 	} else {
-		_context.store.follow(_topic, _known.offset, p_read.wait, p_read.on_new_connection, take);
+		_context.store.follow(_topic, _known.offset, p_read.wait, p_read.on_new_connection, on_answer);
 	}
 }
 
@@ -117,9 +118,9 @@
 	}
 }
 
-void topic_reader::_on_answer(const store_answer &p_answer, std::uint64_t p_reading, bool p_is_whole) {
+void topic_reader::_on_answer(const store_answer &p_answer, std::uint64_t p_read_id, bool p_is_whole) {
 	if (p_answer.status == store_status::UNAVAILABLE) {
-		if (!_schedule.on_failed(p_reading)) {
+		if (!_schedule.on_failed(p_read_id)) {
 			return;
 		}
 		_set_reachable(false, p_answer.http_status);
@@ -127,7 +128,7 @@
 		read_in(_schedule.get_retry());
 		return;
 	}
-	if (!_schedule.on_answered(p_reading)) {
+	if (!_schedule.on_answered(p_read_id)) {
 		return;
 	}
 	_set_reachable(true, 0);
@@ -174,7 +175,7 @@
 		line.add("status", static_cast<long long>(p_status));
 	}
 	_hooks.describe(line);
-	line.add("read_ms", now - _read_since).add("unconfirmed_ms", get_unconfirmed_time(now));
+	line.add("read_ms", now - _read_began_at).add("unconfirmed_ms", get_unconfirmed_time(now));
 	_context.log.write(line);
 }
 
