--- a/main/gateway/crash_watch.cpp
+++ b/main/gateway/crash_watch.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: crash_watch.cpp
- * Finds out which requests were at work at endpoints that ended.
+ * Finds out which requests were running at endpoints that crashed.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -12,17 +12,17 @@
 
 namespace {
 
-/** Between looks for entries that went; they are read each 0.9 s. */
-constexpr duration LOOK_INTERVAL = std::chrono::milliseconds(300);
+/** Interval between checks of the list for removed endpoints. The list is read each 0.9 s. */
+constexpr duration LIST_CHECK_INTERVAL = std::chrono::milliseconds(300);
 
 } // namespace
 
-crash_watch::crash_watch(gateway_context &p_context, endpoint_follower &p_endpoints, std::function<void(const ended_endpoint &)> p_on_ended) :
+crash_watch::crash_watch(gateway_context &p_context, endpoint_follower &p_endpoints, std::function<void(const ended_endpoint &)> p_on_crashed) :
 		_context(p_context),
 		_endpoints(p_endpoints),
-		_on_ended(std::move(p_on_ended)),
+		_on_crashed(std::move(p_on_crashed)),
 		_probe(p_context.loop),
-		_look_timer(p_context.loop, [this] { _look(); }) {
+		_list_check_timer(p_context.loop, [this] { _check_list(); }) {
 }
 
 void crash_watch::on_run_lost(const lost_run &p_run) {
@@ -32,39 +32,39 @@
 	const instant now = event_loop::now();
 	_context.metrics.count("runs_lost");
 	_context.log.write_request(log_line("run_lost").add("request", p_run.attempt).add("fingerprint", to_string(p_run.fingerprint)).add("endpoint", p_run.endpoint.vm).add("address", to_string(p_run.address)));
-	if (!_lost.add(p_run.endpoint, p_run.fingerprint, now)) {
+	if (!_interrupted.add(p_run.endpoint, p_run.fingerprint, now)) {
 		return;
 	}
 	_probe.start(p_run.address, [this, endpoint = p_run.endpoint, now](probe_end p_end) { _on_probed(endpoint, p_end, now); });
 }
 
-void crash_watch::_on_probed(const endpoint_identity &p_endpoint, probe_end p_end, instant p_lost_at) {
-	const ended_endpoint ended{ p_endpoint, _lost.on_probed(p_endpoint, p_end), p_lost_at };
-	_context.log.write(log_line("endpoint_probed").add("endpoint", p_endpoint.vm).add("end", get_name(p_end)).add("took_ms", event_loop::now() - p_lost_at).add("runs", static_cast<long long>(ended.runs.size())));
-	if (!ended.runs.empty()) {
-		_blame(ended, "probe");
+void crash_watch::_on_probed(const endpoint_identity &p_endpoint, probe_end p_end, instant p_interrupted_at) {
+	const ended_endpoint crashed{ p_endpoint, _interrupted.on_probed(p_endpoint, p_end), p_interrupted_at };
+	_context.log.write(log_line("endpoint_probed").add("endpoint", p_endpoint.vm).add("end", get_name(p_end)).add("took_ms", event_loop::now() - p_interrupted_at).add("runs", static_cast<long long>(crashed.runs.size())));
+	if (!crashed.runs.empty()) {
+		_report_crashed(crashed, "probe");
 	}
-	if (!_lost.is_empty()) {
-		_look_timer.set(LOOK_INTERVAL);
+	if (!_interrupted.is_empty()) {
+		_list_check_timer.set(LIST_CHECK_INTERVAL);
 	}
 }
 
-void crash_watch::_look() {
+void crash_watch::_check_list() {
 	const auto is_listed = [this](const endpoint_identity &p_endpoint) { return _endpoints.get_directory().contains_start(p_endpoint) && !_endpoints.get_directory().is_superseded(p_endpoint); };
-	for (const ended_endpoint &ended : _lost.take_ended(is_listed, event_loop::now())) {
-		_blame(ended, "entry");
+	for (const ended_endpoint &crashed : _interrupted.take_ended(is_listed, event_loop::now())) {
+		_report_crashed(crashed, "entry");
 	}
-	if (!_lost.is_empty()) {
-		_look_timer.set(LOOK_INTERVAL);
+	if (!_interrupted.is_empty()) {
+		_list_check_timer.set(LIST_CHECK_INTERVAL);
 	}
 }
 
-void crash_watch::_blame(const ended_endpoint &p_ended, std::string_view p_evidence) {
-	for (const request_fingerprint &run : p_ended.runs) {
+void crash_watch::_report_crashed(const ended_endpoint &p_crashed, std::string_view p_evidence) {
+	for (const request_fingerprint &run : p_crashed.runs) {
 		_context.metrics.count("runs_lost_with_endpoint");
-		_context.log.write_request(log_line("endpoint_ended_under_run").add("fingerprint", to_string(run)).add("endpoint", p_ended.endpoint.vm).add("evidence", p_evidence).add("runs", static_cast<long long>(p_ended.runs.size())));
+		_context.log.write_request(log_line("endpoint_ended_under_run").add("fingerprint", to_string(run)).add("endpoint", p_crashed.endpoint.vm).add("evidence", p_evidence).add("runs", static_cast<long long>(p_crashed.runs.size())));
 	}
-	_on_ended(p_ended);
+	_on_crashed(p_crashed);
 }
 
 } // namespace calicoscale
--- a/main/gateway/crash_watch.h
+++ b/main/gateway/crash_watch.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: crash_watch.h
- * Finds out which requests were at work at endpoints that ended.
+ * Finds out which requests were running at endpoints that crashed.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -20,7 +20,7 @@
 
 namespace calicoscale {
 
-/** A run whose connection ended before its answer was whole. */
+/** A run whose connection crashed before the answer was complete, so that its outcome is unknown. */
 struct lost_run {
 	std::string attempt; ///< Id of its request, for logs.
 	request_fingerprint fingerprint;
@@ -28,24 +28,24 @@
 	network_address address;
 };
 
-/** Finds out whether an endpoint ended under the runs that were lost there. */
+/** Probes endpoints with interrupted runs, and watches the list of endpoints, to find out whether the endpoint crashed. */
 class crash_watch {
 	gateway_context &_context;
 	endpoint_follower &_endpoints;
-	std::function<void(const ended_endpoint &)> _on_ended;
-	lost_runs _lost;
+	std::function<void(const ended_endpoint &)> _on_crashed;
+	lost_runs _interrupted;
 	endpoint_probe _probe;
-	timer _look_timer; ///< For entries that go.
+	timer _list_check_timer; ///< Checks whether endpoints with interrupted runs are still listed.
 
-	void _on_probed(const endpoint_identity &p_endpoint, probe_end p_end, instant p_lost_at);
-	void _look();
-	void _blame(const ended_endpoint &p_ended, std::string_view p_evidence);
+	void _on_probed(const endpoint_identity &p_endpoint, probe_end p_end, instant p_interrupted_at);
+	void _check_list();
+	void _report_crashed(const ended_endpoint &p_crashed, std::string_view p_evidence);
 
 public:
-	/** @param p_on_ended gets each endpoint that ended with the runs that were lost there. */
-	crash_watch(gateway_context &p_context, endpoint_follower &p_endpoints, std::function<void(const ended_endpoint &)> p_on_ended);
+	/** @param p_on_crashed receives each endpoint that crashed, with the runs interrupted there. */
+	crash_watch(gateway_context &p_context, endpoint_follower &p_endpoints, std::function<void(const ended_endpoint &)> p_on_crashed);
 
-	/** A run was lost at an endpoint. One that leaves ends on purpose, and under nobody. */
+	/** Records an interrupted run. Ignores endpoints that are leaving: they exit on purpose, and no request is the cause. */
 	void on_run_lost(const lost_run &p_run);
 };
 
--- a/main/gateway/endpoint_follower.cpp
+++ b/main/gateway/endpoint_follower.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: endpoint_follower.cpp
- * Keeps the list of endpoints, from the store.
+ * Keeps the list of endpoints, as read from the store.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -14,30 +14,30 @@
 
 namespace {
 
-/** Endpoints get no new work within two seconds of saying that they leave; a read takes part of that. */
+/** An endpoint must get no new work from two seconds after it announces that it leaves; the read interval uses part of that time. */
 constexpr duration READ_INTERVAL = std::chrono::milliseconds(900);
 constexpr duration RETRY_INTERVAL = std::chrono::milliseconds(300);
 /**
- * A read without an answer is not given up yet, as the store may be slow, but another one is sent beside it: an answer must
- * come within half a second of the store's return, as entries that are missing then are kept for two more.
+ * After this time without an answer another read is sent while the first stays open, as the store may only be slow. An answer
+ * must arrive within half a second of the store's return, since entries that are missing then are kept for two more seconds.
  */
-constexpr duration NEXT_READ = std::chrono::milliseconds(400);
+constexpr duration REPEAT_INTERVAL = std::chrono::milliseconds(400);
 /**
- * A peer that reads for others tells each 0.9 s. One that fell silent is noticed and the list read within the two seconds
- * after which an endpoint that leaves gets no new work.
+ * A peer that reads for others sends a delta each 0.9 s. This node reads the store itself after this time without one, which is
+ * within the two seconds after which an endpoint that leaves must get no new work.
  */
-constexpr duration TOLD_INTERVAL = std::chrono::milliseconds(1350);
-/** While the store turns both this node and its reader away; well within the two seconds that entries are kept after an outage. */
-constexpr duration LONGEST_RETRY = std::chrono::milliseconds(1000);
-/** Lists that differ are read as a whole no more often than this, as two nodes may differ for a while after an outage. */
-constexpr duration WHOLE_INTERVAL = std::chrono::seconds(4);
-/** Nodes that learn from a peer that the store came back from an older copy read it within this, not all at once. */
+constexpr duration PEER_READ_TIMEOUT = std::chrono::milliseconds(1350);
+/** Longest retry interval while the store rejects both this node and its reader. Well below the two seconds for which entries are kept after an outage. */
+constexpr duration MAX_RETRY_INTERVAL = std::chrono::milliseconds(1000);
+/** Shortest interval between snapshots that are read because lists differ, as two nodes may differ for a while after an outage. */
+constexpr duration MIN_SNAPSHOT_INTERVAL = std::chrono::seconds(4);
+/** Nodes that learn of a new era of the store from a peer spread their reads over this time. */
 constexpr duration ERA_SPREAD = std::chrono::milliseconds(600);
-/** One node of a zone reads the whole list when a fleet starts together; whoever is not told within this reads too. */
-constexpr duration TOLD_AT_START = std::chrono::milliseconds(1500);
-/** Between nodes of a zone that read the list one after the other while nobody tells them. */
-constexpr duration PLACE_STEP = std::chrono::milliseconds(500);
-/** While entries that went with an outage are waited for. */
+/** When a fleet starts together, one node of each zone reads the snapshot. A node that has not received it within this time reads it too. */
+constexpr duration FIRST_READ_DELAY = std::chrono::milliseconds(1500);
+/** Interval between the first reads of nodes of a zone, which read one after the other while no peer sends the list. */
+constexpr duration FIRST_READ_STEP = std::chrono::milliseconds(500);
+/** Read interval while entries that are missing since an outage may come back. */
 constexpr duration RETURN_INTERVAL = std::chrono::milliseconds(400);
 
 std::vector<read_endpoint_record> read_entries(const store_answer &p_answer) {
@@ -57,7 +57,7 @@
 endpoint_follower::endpoint_follower(gateway_context &p_context) :
 		_context(p_context),
 		_rejections(event_loop::now()),
-		_reader(p_context, get_endpoint_topic(), "store_endpoints", read_times{ duration::zero(), NEXT_READ, NEXT_READ, RETRY_INTERVAL, LONGEST_RETRY, TOLD_AT_START, PLACE_STEP },
+		_reader(p_context, get_endpoint_topic(), "store_endpoints", read_times{ duration::zero(), REPEAT_INTERVAL, REPEAT_INTERVAL, RETRY_INTERVAL, MAX_RETRY_INTERVAL, FIRST_READ_DELAY, FIRST_READ_STEP },
 				topic_reader_hooks{
 						[this](const store_answer &p_answer, bool p_is_whole) { _on_answer(p_answer, p_is_whole); },
 						[this] { _on_failure(); },
@@ -73,30 +73,30 @@
 
 void endpoint_follower::_on_new_era() {
 	_directory.on_new_era(event_loop::now());
-	_is_era_untold = true;
+	_is_era_unreported = true;
 	_era_entered.emit();
 }
 
 void endpoint_follower::_on_answer(const store_answer &p_answer, bool p_is_whole) {
 	_directory.on_read(event_loop::now());
 	if (p_is_whole) {
-		_take_whole(p_answer);
+		_apply_snapshot(p_answer);
 		_set_timers();
-		if (_is_era_untold) {
-			// Nodes that are told readings know none of this era, and need not read for themselves.
-			_is_era_untold = false;
-			_reading_taken.emit(_directory.make_whole_reading(_reader.get_known()));
+		if (_is_era_unreported) {
+			// Peers that receive deltas know no position of this era. With the snapshot they need not read the store themselves.
+			_is_era_unreported = false;
+			_delta_published.emit(_directory.make_whole_reading(_reader.get_known()));
 		}
 		return;
 	}
-	const endpoint_reading reading = _take_records(p_answer);
+	const endpoint_reading reading = _apply_records(p_answer);
 	_set_timers();
-	_reading_taken.emit(reading);
+	_delta_published.emit(reading);
 }
 
 void endpoint_follower::take_reading(const endpoint_reading &p_reading, const std::string &p_peer) {
 	const log_position known = _reader.get_known();
-	// What a reader that knows no starts tells lacks them for good, as only changes are read.
+	// A delta of a reader that does not count starts lacks them, and later deltas would not add them.
 	const bool has_starts = p_reading.listed_starts != 0;
 	if (!has_starts || !_reader.is_loaded() || p_reading.era < known.era) {
 		return;
@@ -122,16 +122,16 @@
 	_directory.on_read(now);
 	_directory.take_reading(p_reading, now);
 	_set_timers();
-	_reader.read_in(TOLD_INTERVAL);
+	_reader.read_in(PEER_READ_TIMEOUT);
 	_compare(p_reading, p_peer);
 }
 
 void endpoint_follower::_compare(const endpoint_reading &p_reading, const std::string &p_peer) {
 	const instant now = event_loop::now();
-	if (_directory.is_like(p_reading) || now - _differed_at < WHOLE_INTERVAL) {
+	if (_directory.is_like(p_reading) || now - _difference_found_at < MIN_SNAPSHOT_INTERVAL) {
 		return;
 	}
-	_differed_at = now;
+	_difference_found_at = now;
 	_context.metrics.count("endpoint_lists_differed");
 	_context.log.write(log_line("endpoint_lists_differ").add("peer", p_peer).add("endpoints", static_cast<long long>(_directory.get_size())).add("offset", static_cast<long long>(_reader.get_known().offset)));
 	_reader.read_whole();
@@ -141,9 +141,9 @@
 	if (p_awaits_entries) {
 		return RETURN_INTERVAL;
 	}
-	// A list that all nodes read for themselves while it is written keeps the store from the few that read for the others.
+	// If all nodes read the list while endpoints register, their load delays the few nodes that read for the others.
 	if (_reader.is_patient()) {
-		return TOLD_INTERVAL;
+		return PEER_READ_TIMEOUT;
 	}
 	return _directory.get_size() == 0 ? RETRY_INTERVAL : READ_INTERVAL;
 }
@@ -159,23 +159,23 @@
 	_reader.read_in(_get_read_interval(drop_at.has_value()));
 }
 
-endpoint_reading endpoint_follower::_take_records(const store_answer &p_answer) {
+endpoint_reading endpoint_follower::_apply_records(const store_answer &p_answer) {
 	const instant now = event_loop::now();
 	const std::vector<endpoint_record> records = _filter.take(read_entries(p_answer), _directory.get_entries(), now);
-	_note_rejected();
+	_report_rejected();
 	endpoint_reading reading = _directory.take_records(records, p_answer.next_offset - p_answer.records.size(), p_answer.next_offset, now);
 	reading.era = p_answer.era;
 	return reading;
 }
 
-void endpoint_follower::_take_whole(const store_answer &p_answer) {
+void endpoint_follower::_apply_snapshot(const store_answer &p_answer) {
 	const instant now = event_loop::now();
 	const std::vector<endpoint_listing> listings = _filter.take_whole(read_entries(p_answer), _directory.get_entries(), now);
-	_note_rejected();
+	_report_rejected();
 	_directory.replace(listings, now);
 }
 
-void endpoint_follower::_note_rejected() {
+void endpoint_follower::_report_rejected() {
 	for (const rejected_entry &entry : _filter.take_rejected()) {
 		const std::string_view reason = get_name(entry.fault);
 		_context.metrics.count("endpoint_entry_rejected");
@@ -217,7 +217,7 @@
 	}
 	if (p_known.offset > 0 && !_reader.is_loaded()) {
 		_reader.adopt(p_known);
-		_reader.read_in(TOLD_INTERVAL);
+		_reader.read_in(PEER_READ_TIMEOUT);
 	}
 	_publish();
 }
--- a/main/gateway/endpoint_follower.h
+++ b/main/gateway/endpoint_follower.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: endpoint_follower.h
- * Keeps the list of endpoints, from the store.
+ * Keeps the list of endpoints, as read from the store.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,83 +18,84 @@
 
 namespace calicoscale {
 
-/** Reads the endpoints' topic about once a second and folds it. */
+/** Reads the endpoints' topic about once a second and merges its records into a directory. */
 class endpoint_follower {
 	gateway_context &_context;
 	endpoint_directory _directory;
 	endpoint_record_filter _filter;
 	rejection_notes _rejections;
 	topic_reader _reader;
-	timer _drop_timer; ///< Entries that went with an outage are dropped.
+	timer _drop_timer; ///< Drops entries that are missing since an outage of the store and did not come back.
 	sigc::signal<void()> _changed;
-	sigc::signal<void(const endpoint_reading &)> _reading_taken;
+	sigc::signal<void(const endpoint_reading &)> _delta_published;
 	sigc::signal<void()> _era_entered;
-	bool _is_era_untold = false; ///< The first whole reading of an era is to be told.
-	instant _differed_at{}; ///< When this node last read the whole list because a peer's was another one.
+	bool _is_era_unreported = false; ///< The first snapshot of the current era is still to be published to peers.
+	instant _difference_found_at{}; ///< When this node last read a snapshot because its list differed from a peer's.
 
 	void _on_answer(const store_answer &p_answer, bool p_is_whole);
 	void _on_failure();
 	void _on_new_era();
-	/** Until the next own read. @param p_awaits_entries some went with an outage of the store and may come back. */
+	/** Returns the time until the next own read. @param p_awaits_entries some entries are missing since an outage of the store and may come back. */
 	duration _get_read_interval(bool p_awaits_entries) const;
 	void _set_timers();
-	endpoint_reading _take_records(const store_answer &p_answer);
+	endpoint_reading _apply_records(const store_answer &p_answer);
 	void _compare(const endpoint_reading &p_reading, const std::string &p_peer);
-	void _take_whole(const store_answer &p_answer);
-	void _note_rejected();
+	void _apply_snapshot(const store_answer &p_answer);
+	void _report_rejected();
 	void _publish();
 
 public:
 	explicit endpoint_follower(gateway_context &p_context);
 
-	/** Begins to read, in a moment if peers may tell before. */
+	/** Schedules the first read: after a random delay if there are peers, which may send the list earlier. */
 	void start() { _reader.read_first(); }
 
-	/** Place of this node in the order in which nodes of its zone read for the first time. */
-	void set_place(std::size_t p_place) { _reader.set_place(p_place); }
+	/** Sets the rank of this node in the order in which nodes of its zone read for the first time. */
+	void set_place(std::size_t p_rank) { _reader.set_place(p_rank); }
 
-	/** A peer reads for this node as soon as the store answers it. */
+	/** Sets whether a peer reads for this node as soon as the store answers that peer. */
 	void set_patient(bool p_is_patient) { _reader.set_patient(p_is_patient); }
 
-	/** Up to where this node knows the topic; zero while it does not. */
+	/** Returns the position up to which this node knows the topic, or zero if it has no snapshot. */
 	log_position get_known() const { return _reader.is_loaded() ? _reader.get_known() : log_position(); }
 
-	/** This node was away: asks at once for what changed meanwhile. */
+	/** Reads the changes made during a stall of this process immediately. */
 	void catch_up() { _reader.read_after_absence(); }
 
-	/** Whether the endpoints are known as they were at a moment. */
+	/** Whether the known list was confirmed at or after p_moment. */
 	bool is_known_since(instant p_moment) const { return _reader.is_answered_since(p_moment); }
 
-	/** A peer or an answer told that an endpoint leaves. */
+	/** Marks an endpoint as leaving, as reported by a peer or by an answer of the endpoint. */
 	void mark_leaving(const endpoint_identity &p_identity, std::string_view p_source);
 
-	/** Drops endpoints that peers told of before and that count as gone by now. */
+	/** Drops endpoints whose removal peers reported earlier and that count as removed by now. */
 	void drop_told();
 
-	/** A peer that reads the store without a break saw an endpoint's entry go. */
+	/** Marks an endpoint as removed, as reported by a peer that reads the store continuously and saw the entry disappear. */
 	void mark_gone(const endpoint_identity &p_identity, const std::string &p_peer);
 
-	/** A peer told its list, and up to where it knows the topic. A node that knows none takes both. */
+	/** Offers the list of a peer and the position up to which the peer knows the topic. Both are adopted if this node has no list. */
 	void offer(const std::vector<endpoint_listing> &p_listings, const log_position &p_known, const std::string &p_peer);
 
 	/**
-	 * A peer told what it read. Taken as if this node had read it, when nothing is missing in between; then this node reads
-	 * by itself only if no peer tells in time. That of a peer of a version that does not know starts is not taken. One of a
-	 * later era of the store is taken if it is whole; else this node reads the whole topic, soon.
+	 * Applies a delta received from a peer as if this node had read it, provided that it continues at the known position. This
+	 * node then reads by itself only if no further delta arrives in time. A delta from a peer whose version does not count the
+	 * starts of endpoints is ignored. A delta of a later era of the store is applied if it is a snapshot; otherwise this node
+	 * reads the store itself after a short random delay.
 	 */
 	void take_reading(const endpoint_reading &p_reading, const std::string &p_peer);
 
-	/** Emitted with what each read of this node brought, for peers that do not read. */
-	sigc::signal<void(const endpoint_reading &)> &reading_taken() { return _reading_taken; }
+	/** Emitted with the delta of each read by this node, for peers that do not read the store. */
+	sigc::signal<void(const endpoint_reading &)> &reading_taken() { return _delta_published; }
 
-	/** Emitted when the store came back from an older copy: what this node wrote there may be gone. */
+	/** Emitted when the store was restored from an older copy, so that records which this node wrote may be missing. */
 	sigc::signal<void()> &era_entered() { return _era_entered; }
 
 	endpoint_directory &get_directory() { return _directory; }
-	/** Whether endpoints are known; an empty list means that none has said so yet. */
+	/** Whether endpoints are known. An empty list counts as unknown: no endpoint has registered yet. */
 	bool is_loaded() const { return _directory.is_loaded() && _directory.get_size() > 0; }
 
-	/** Emitted when the list of endpoints is another one. */
+	/** Emitted when the list of endpoints has changed. */
 	sigc::signal<void()> &changed() { return _changed; }
 };
 
--- a/main/gateway/evacuation_follower.cpp
+++ b/main/gateway/evacuation_follower.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: evacuation_follower.cpp
- * Keeps which availability zones are evacuated, from the store or from peers.
+ * Keeps the set of evacuated availability zones, as received from the store or from peers.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -16,10 +16,10 @@
 		_context(p_context),
 		_configuration(p_configuration),
 		_tick_timer(p_context.loop, [this] { _tick(); }) {
-	_configuration.topic_read().connect([this](const store_answer &p_answer, bool p_is_whole) { _take_answer(p_answer, p_is_whole); });
+	_configuration.topic_read().connect([this](const store_answer &p_answer, bool p_is_whole) { _apply_answer(p_answer, p_is_whole); });
 }
 
-void evacuation_follower::_take_answer(const store_answer &p_answer, bool p_is_whole) {
+void evacuation_follower::_apply_answer(const store_answer &p_answer, bool p_is_whole) {
 	if (p_is_whole) {
 		_table.take_whole(read_evacuated_zones(p_answer.records), log_position{ p_answer.era, p_answer.next_offset }, event_loop::now());
 	} else {
--- a/main/gateway/topic_reader.cpp
+++ b/main/gateway/topic_reader.cpp
@@ -103,12 +103,12 @@
 
 void topic_reader::_send(const planned_read &p_read) {
 	const bool is_whole = !_is_loaded;
-	const auto on_answer = [this, reading = p_read.reading, is_whole](const store_answer &p_answer) { _on_answer(p_answer, reading, is_whole); };
+	const auto handle_answer = [this, reading = p_read.reading, is_whole](const store_answer &p_answer) { _on_answer(p_answer, reading, is_whole); };
 	_timer.set(p_read.check_in);
 	if (is_whole) {
-		_context.store.read_newest(_topic, p_read.on_new_connection, on_answer, [this, p_read] { _on_page(p_read); });
+		_context.store.read_newest(_topic, p_read.on_new_connection, handle_answer, [this, p_read] { _on_page(p_read); });
 	} else {
-		_context.store.follow(_topic, _known.offset, p_read.wait, p_read.on_new_connection, on_answer);
+		_context.store.follow(_topic, _known.offset, p_read.wait, p_read.on_new_connection, handle_answer);
 	}
 }
 
