--- a/main/gateway/activity_report.cpp
+++ b/main/gateway/activity_report.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: activity_report.cpp
- * Tells what a node spends its time on.
+ * Reports how a node uses its processor time.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -13,10 +13,10 @@
 namespace {
 
 constexpr duration WINDOW = std::chrono::seconds(2);
-/** Of a window; a node that is busy for longer has no room for a burst. */
-constexpr int LOGGED_PART = 4;
-/** Peers expect a heartbeat after a few times this. */
-constexpr duration LOGGED_LONGEST = std::chrono::milliseconds(100);
+/** A node that is busy for more than a window divided by this is logged, as it has no capacity for a burst. */
+constexpr int LOGGED_WINDOW_DIVISOR = 4;
+/** A turn of the event loop that is longer than this is logged. Peers expect a heartbeat after a few times this. */
+constexpr duration MIN_LOGGED_TURN = std::chrono::milliseconds(100);
 
 } // namespace
 
@@ -25,20 +25,20 @@
 }
 
 void activity_report::start() {
-	_since = event_loop::now();
+	_window_began_at = event_loop::now();
 	_timer.set(WINDOW);
 }
 
 void activity_report::_report() {
 	const instant now = event_loop::now();
 	const work_sum sum = _context.loop.get_meter().take();
-	const duration window = now - _since;
-	_since = now;
+	const duration window = now - _window_began_at;
+	_window_began_at = now;
 	for (std::size_t i = 0; i < ACTIVITY_COUNT; i++) {
 		_context.metrics.count("busy_seconds_" + std::string(get_name(static_cast<activity>(i))), to_seconds(sum.amounts[i].time));
 	}
 	_context.metrics.set_gauge("longest_turn_seconds", to_seconds(sum.longest));
-	if (sum.busy * LOGGED_PART > window || sum.longest > LOGGED_LONGEST) {
+	if (sum.busy * LOGGED_WINDOW_DIVISOR > window || sum.longest > MIN_LOGGED_TURN) {
 		_log(sum, window);
 	}
 	_timer.set(WINDOW);
--- a/main/gateway/activity_report.h
+++ b/main/gateway/activity_report.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: activity_report.h
- * Tells what a node spends its time on.
+ * Reports how a node uses its processor time.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -13,11 +13,11 @@
 
 namespace calicoscale {
 
-/** Counts the time of each activity, and logs a node that is busy or did one thing for long. */
+/** Counts the time of each activity, and writes a log line when the node is busy or a single turn of the event loop was long. */
 class activity_report {
 	gateway_context &_context;
 	timer _timer;
-	instant _since{};
+	instant _window_began_at{};
 
 	void _report();
 	void _log(const work_sum &p_sum, duration p_window);
--- a/main/gateway/beat_part.h
+++ b/main/gateway/beat_part.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: beat_part.h
- * Something that nodes tell each other with their heartbeats.
+ * One subject that nodes report to each other in their heartbeats.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -16,34 +16,34 @@
 
 namespace calicoscale {
 
-/** How the other end of a link stands to this node, as far as what is told depends on it. */
+/** Relation of the peer of a link to this node, which determines the content of a heartbeat. */
 enum class beat_peer {
-	OTHER, ///< A link for work.
-	HUB, ///< Another hub, or the one that this node relies on.
-	FOLLOWER, ///< It relies on this node, or is of a zone whose hub this node is.
+	OTHER, ///< A peer that is linked for work only.
+	HUB, ///< Another hub, or the hub that this node follows.
+	FOLLOWER, ///< A node that follows this one, or is in a zone whose hub this node is.
 };
 
-/** What this node is, as it tells something. */
+/** Role of this node as the sender of a heartbeat. */
 struct beat_sender {
 	bool is_hub = false;
-	bool knows_hubs = false; ///< A hub that has heard all others, so that it may tell sums of the fleet.
+	bool knows_hubs = false; ///< This node is a hub and has had contact with all other hubs, so that it may report totals of the fleet.
 };
 
-/** From whom a heartbeat came. */
+/** Sender of a received heartbeat. */
 struct beat_source {
 	std::string vm;
-	bool is_other_hub = false; ///< Both ends are hubs.
-	bool is_relied_on = false; ///< This node relies on it.
+	bool is_other_hub = false; ///< This node and the sender are both hubs.
+	bool is_relied_on = false; ///< This node follows the sender.
 };
 
-/** The hooks of one matter; what a heartbeat tells of it is written and read there. */
+/** Hooks that write and read the content of one subject in heartbeats. */
 struct beat_part {
-	/** Called for OTHER first; what that wrote is in the messages to the two others, too. */
+	/** Called for OTHER first. What that call writes is also in the messages to HUB and FOLLOWER. */
 	std::function<void(beat_peer, const beat_sender &, heartbeat_message &)> write;
 	std::function<void(const beat_source &, const heartbeat_message &)> read;
-	std::function<void(const heartbeat_message &)> on_told_hub; ///< The hub that this node relies on was sent this.
-	std::function<void(const std::string &)> on_lost; ///< A node was lost.
-	std::function<void()> on_hubs_known; ///< This node became a hub and has heard all others.
+	std::function<void(const heartbeat_message &)> on_told_hub; ///< Called with the message that was sent to the hub that this node follows.
+	std::function<void(const std::string &)> on_lost; ///< Called when a node has failed or disconnected.
+	std::function<void()> on_hubs_known; ///< Called when this node has become a hub and has had contact with all other hubs.
 };
 
 } // namespace calicoscale
--- a/main/gateway/commitment_exchange.cpp
+++ b/main/gateway/commitment_exchange.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: commitment_exchange.cpp
- * Tells what nodes have admitted, and what pools are worth, with heartbeats.
+ * Exchanges the commitments of nodes and the capacities of pools by heartbeats.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -11,13 +11,13 @@
 namespace calicoscale {
 
 beat_part commitment_exchange::make_part() {
-	beat_part part;
-	part.write = [this](beat_peer p_peer, const beat_sender &p_sender, heartbeat_message &r_message) { _write(p_peer, p_sender, r_message); };
-	part.read = [this](const beat_source &p_source, const heartbeat_message &p_message) { _read(p_source, p_message); };
-	part.on_told_hub = [this](const heartbeat_message &p_message) { _own_told = p_message.commitments; };
-	part.on_lost = [this](const std::string &p_vm) { _commitments.forget_peer(p_vm); };
-	part.on_hubs_known = [this] { _commitments.forget_total(); };
-	return part;
+	beat_part section;
+	section.write = [this](beat_peer p_peer, const beat_sender &p_sender, heartbeat_message &r_message) { _write(p_peer, p_sender, r_message); };
+	section.read = [this](const beat_source &p_source, const heartbeat_message &p_message) { _read(p_source, p_message); };
+	section.on_told_hub = [this](const heartbeat_message &p_message) { _own_reported = p_message.commitments; };
+	section.on_lost = [this](const std::string &p_vm) { _commitments.forget_peer(p_vm); };
+	section.on_hubs_known = [this] { _commitments.forget_total(); };
+	return section;
 }
 
 void commitment_exchange::_write(beat_peer p_peer, const beat_sender &p_sender, heartbeat_message &r_message) const {
@@ -29,7 +29,7 @@
 	}
 	if (p_peer == beat_peer::FOLLOWER) {
 		r_message.capacities = _commitments.get_capacities();
-		// A hub that has just started hears some of the others only.
+		// A hub that has just started may have had contact with only some of the other hubs.
 		r_message.commitments = p_sender.knows_hubs ? _commitments.get_total() : std::vector<pool_commitment>();
 	}
 }
@@ -42,7 +42,7 @@
 		_commitments.take_follower(p_source.vm, p_message.commitments);
 	} else if (p_message.is_total) {
 		if (p_source.is_relied_on) {
-			_commitments.take_total(p_message.commitments, _own_told);
+			_commitments.take_total(p_message.commitments, _own_reported);
 		}
 	} else if (p_source.is_other_hub) {
 		_commitments.take_peer(p_source.vm, p_message.commitments);
--- a/main/gateway/commitment_exchange.h
+++ b/main/gateway/commitment_exchange.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: commitment_exchange.h
- * Tells what nodes have admitted, and what pools are worth, with heartbeats.
+ * Exchanges the commitments of nodes and the capacities of pools by heartbeats.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -17,10 +17,10 @@
 
 namespace calicoscale {
 
-/** Sums go from nodes to their hubs, among hubs, and back as those of all nodes. */
+/** Nodes send their commitments to their hubs, hubs exchange sums, and followers receive the total of all nodes. */
 class commitment_exchange {
 	commitment_table &_commitments;
-	std::vector<pool_commitment> _own_told; ///< What the hub that this node relies on was told of its own.
+	std::vector<pool_commitment> _own_reported; ///< This node's commitments as last sent to the hub that it follows.
 	std::function<std::vector<pool_capacity>()> _get_capacities;
 
 	void _write(beat_peer p_peer, const beat_sender &p_sender, heartbeat_message &r_message) const;
@@ -30,10 +30,10 @@
 	explicit commitment_exchange(commitment_table &p_commitments) :
 			_commitments(p_commitments) {}
 
-	/** Sets what tells the capacities of the pools this node dispatches. */
+	/** Sets the source of the capacities of the pools that this node dispatches. */
 	void set_capacity_source(std::function<std::vector<pool_capacity>()> p_hook) { _get_capacities = std::move(p_hook); }
 
-	/** Its part in heartbeats; this must outlive it. */
+	/** Returns the hooks for the commitments in heartbeats. This object must outlive them. */
 	beat_part make_part();
 };
 
--- a/main/gateway/crash_exchange.cpp
+++ b/main/gateway/crash_exchange.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: crash_exchange.cpp
- * Keeps what nodes know of requests that end endpoints alike, and in the store.
+ * Shares records of requests that crash endpoints with other nodes and with the store.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -14,28 +14,29 @@
 
 namespace {
 
-/** Records in a message: 40 bytes each, so that five a second take 28 KB/s, and only for as long as endpoints end. */
+/** Maximum number of records in a message. At 40 bytes each, five messages a second take 28 KB/s, and only while endpoints crash. */
 constexpr std::size_t MOST_RECORDS = 140;
-/** Records told to a node that is linked anew, 20 KB. */
-constexpr std::size_t MOST_WHOLE_RECORDS = 500;
-/** A node that starts alone among others is told over its first link; it leaves this time for that. */
-constexpr duration FIRST_READ_AFTER = std::chrono::milliseconds(200);
-/** Of the nodes of a fleet that starts the first to read tell the others. */
+/** Maximum number of records sent to a newly linked node, 20 KB. */
+constexpr std::size_t MAX_SNAPSHOT_RECORDS = 500;
+/** Time left for the peers of a node that starts alone to send the records over its first link. */
+constexpr duration MIN_FIRST_READ_DELAY = std::chrono::milliseconds(200);
+/** When a whole fleet starts, reads are spread over this time and the first nodes to read send the records to the others. */
 constexpr duration FIRST_READ_SPREAD = std::chrono::milliseconds(400);
 constexpr duration READ_RETRY = std::chrono::seconds(2);
-/** At most five writes a second by a node, all news of a request in one. */
+/** Limits a node to five writes a second. One write carries all records of a request. */
 constexpr duration WRITE_PAUSE = std::chrono::milliseconds(200);
 constexpr duration WRITE_RETRY = std::chrono::seconds(2);
-constexpr std::size_t MOST_UNWRITTEN = 256;
-/** Records of the store that are over, dropped by each node that reads them. */
-constexpr std::size_t MOST_DROPPED = 4;
+constexpr std::size_t MAX_PENDING_WRITES = 256;
+/** Maximum number of expired records that a node removes from the store after a read. */
+constexpr std::size_t MAX_DROPPED_RECORDS = 4;
 
 moment get_moment() {
 	return moment{ event_loop::now(), event_loop::wall() };
 }
 
 news_digest<crash_record> make_digest(const crash_memory &p_memory) {
-	// Many requests are lost once; what is lost again and again is what others need to know, and so is what became of a trial.
+	// Many requests are interrupted once. Records of requests that are interrupted repeatedly, and the outcomes of trials, matter
+	// most to other nodes.
 	return news_digest<crash_record>(MOST_RECORDS, [&p_memory](const crash_record &p_record) {
 		const bool is_crash = p_record.news == crash_news::ENDED_ENDPOINT;
 		return is_crash ? static_cast<double>(p_memory.count_crashes(p_record.run)) : static_cast<double>(crash_memory::CRASHES_TO_TRY);
@@ -44,33 +45,33 @@
 
 } // namespace
 
-crash_exchange::crash_exchange(gateway_context &p_context, gateway_fleet &p_fleet, crash_memory &p_memory, std::function<void(const crash_record &, std::string_view)> p_on_news) :
+crash_exchange::crash_exchange(gateway_context &p_context, gateway_fleet &p_fleet, crash_memory &p_memory, std::function<void(const crash_record &, std::string_view)> p_on_event) :
 		_context(p_context),
 		_fleet(p_fleet),
 		_memory(p_memory),
-		_on_news(std::move(p_on_news)),
+		_on_event(std::move(p_on_event)),
 		_relay(p_context.loop, p_fleet, make_digest(p_memory), [this](const std::string &p_vm, const std::vector<crash_record> &p_records) { _send(p_vm, p_records, false); }),
 		_read_timer(p_context.loop, [this] { _read(); }),
 		_write_timer(p_context.loop, [this] { _write_next(); }) {
 	_fleet.get_link().link_up().connect([this](const std::string &p_vm) { _on_link_up(p_vm); });
-	_fleet.get_link().crashes_told().connect([this](const std::string &p_vm, const tell_crashes_message &p_message) { _on_told(p_vm, p_message); });
+	_fleet.get_link().crashes_told().connect([this](const std::string &p_vm, const tell_crashes_message &p_message) { _on_reported(p_vm, p_message); });
 }
 
 void crash_exchange::start() {
 	const bool has_peers = !_context.settings.peers.empty();
-	_read_timer.set(has_peers ? FIRST_READ_AFTER + from_seconds(_context.random.get_unit() * to_seconds(FIRST_READ_SPREAD)) : duration::zero());
+	_read_timer.set(has_peers ? MIN_FIRST_READ_DELAY + from_seconds(_context.random.get_unit() * to_seconds(FIRST_READ_SPREAD)) : duration::zero());
 }
 
-void crash_exchange::tell(const crash_record &p_record) {
+void crash_exchange::publish(const crash_record &p_record) {
 	const std::size_t crashes_before = _memory.count_crashes(p_record.run);
 	if (!_memory.take(p_record, event_loop::now())) {
 		return;
 	}
-	_on_news(p_record, "this node");
+	_on_event(p_record, "this node");
 	_relay.add_own(p_record);
 	_relay.send_soon();
-	const bool lasts = std::max(crashes_before, _memory.count_crashes(p_record.run)) >= crash_memory::CRASHES_TO_TRY;
-	if (lasts && _to_write.size() < MOST_UNWRITTEN && _to_write.insert(p_record.run).second && !_is_write_open) {
+	const bool is_persistent = std::max(crashes_before, _memory.count_crashes(p_record.run)) >= crash_memory::CRASHES_TO_TRY;
+	if (is_persistent && _to_write.size() < MAX_PENDING_WRITES && _to_write.insert(p_record.run).second && !_is_write_open) {
 		_write_timer.set(WRITE_PAUSE);
 	}
 }
@@ -80,9 +81,9 @@
 	if (!nodes.empty() && nodes.front() != _fleet.get_vm()) {
 		return;
 	}
-	for (const crash_record &record : _memory.get_records(MOST_WHOLE_RECORDS)) {
-		const bool lasts = _memory.count_crashes(record.run) >= crash_memory::CRASHES_TO_TRY;
-		if (lasts && _to_write.size() < MOST_UNWRITTEN) {
+	for (const crash_record &record : _memory.get_records(MAX_SNAPSHOT_RECORDS)) {
+		const bool is_persistent = _memory.count_crashes(record.run) >= crash_memory::CRASHES_TO_TRY;
+		if (is_persistent && _to_write.size() < MAX_PENDING_WRITES) {
 			_to_write.insert(record.run);
 		}
 	}
@@ -92,7 +93,7 @@
 }
 
 void crash_exchange::_on_link_up(const std::string &p_vm) {
-	_send(p_vm, _memory.get_records(MOST_WHOLE_RECORDS), _knows_store);
+	_send(p_vm, _memory.get_records(MAX_SNAPSHOT_RECORDS), _knows_store);
 }
 
 void crash_exchange::_send(const std::string &p_vm, const std::vector<crash_record> &p_records, bool p_is_whole) {
@@ -108,18 +109,18 @@
 	_context.metrics.set_gauge("crash_news_not_told", static_cast<double>(_relay.get_dropped()));
 }
 
-void crash_exchange::_on_told(const std::string &p_vm, const tell_crashes_message &p_message) {
+void crash_exchange::_on_reported(const std::string &p_vm, const tell_crashes_message &p_message) {
 	const instant now = event_loop::now();
-	std::vector<crash_record> news;
-	for (const told_crash &told : p_message.news) {
-		const crash_record record{ told.news, told.run, told.subject, now - told.age };
+	std::vector<crash_record> new_records;
+	for (const told_crash &reported : p_message.news) {
+		const crash_record record{ reported.news, reported.run, reported.subject, now - reported.age };
 		if (_memory.take(record, now)) {
-			_on_news(record, "peer/" + p_vm);
-			news.push_back(record);
+			_on_event(record, "peer/" + p_vm);
+			new_records.push_back(record);
 		}
 	}
-	_is_told = true;
-	_relay.add_told(p_vm, news);
+	_is_synchronized = true;
+	_relay.add_told(p_vm, new_records);
 	_relay.send_soon();
 	if (p_message.is_whole) {
 		_on_store_known();
@@ -132,7 +133,7 @@
 	}
 	_knows_store = true;
 	_read_timer.cancel();
-	const std::vector<crash_record> records = _memory.get_records(MOST_WHOLE_RECORDS);
+	const std::vector<crash_record> records = _memory.get_records(MAX_SNAPSHOT_RECORDS);
 	for (const std::string &vm : _fleet.get_link().get_linked()) {
 		_send(vm, records, true);
 	}
@@ -150,19 +151,19 @@
 	const moment now = get_moment();
 	std::size_t dropped = 0;
 	for (const store_record &entry : p_answer.records) {
-		bool is_over = true;
+		bool is_expired = true;
 		for (const crash_record &record : read_crash_records(entry.key, entry.value.value_or(""), now)) {
-			is_over = is_over && now.at - record.at > crash_memory::LIFETIME;
+			is_expired = is_expired && now.at - record.at > crash_memory::LIFETIME;
 			if (_memory.take(record, now.at)) {
-				_on_news(record, "store");
+				_on_event(record, "store");
 				_relay.add_own(record);
 			}
 		}
-		if (is_over && entry.value && dropped++ < MOST_DROPPED) {
+		if (is_expired && entry.value && dropped++ < MAX_DROPPED_RECORDS) {
 			_context.store.put(std::string(get_crash_topic()), entry.key, "", [](bool) {});
 		}
 	}
-	_is_told = true;
+	_is_synchronized = true;
 	_relay.send_soon();
 	_on_store_known();
 }
--- a/main/gateway/crash_exchange.h
+++ b/main/gateway/crash_exchange.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: crash_exchange.h
- * Keeps what nodes know of requests that end endpoints alike, and in the store.
+ * Shares records of requests that crash endpoints with other nodes and with the store.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -20,27 +20,27 @@
 namespace calicoscale {
 
 /**
- * Tells news through the hubs, everything to each node that is linked anew, and writes what a fleet that starts again must
- * not find out again to the store: requests that are on trial or held back. It is read once at the start, unless a peer
- * tells before.
+ * Sends new events through the hubs, and all records to each newly linked node. Writes to the store the records of requests that
+ * are on trial or blocked, so that a restarted fleet need not crash endpoints to identify them again. The store is read once at the
+ * start, unless a peer sends its content earlier.
  */
 class crash_exchange {
 	gateway_context &_context;
 	gateway_fleet &_fleet;
 	crash_memory &_memory;
-	std::function<void(const crash_record &, std::string_view)> _on_news;
+	std::function<void(const crash_record &, std::string_view)> _on_event;
 	hub_relay<crash_record> _relay;
 	timer _read_timer;
 	timer _write_timer;
 	std::set<request_fingerprint> _to_write;
 	bool _is_write_open = false;
-	bool _is_told = false; ///< By a peer or the store.
-	bool _knows_store = false; ///< What the store holds is known, by reading or from a peer that knows it.
+	bool _is_synchronized = false; ///< A peer or the store has sent its records.
+	bool _knows_store = false; ///< The content of the store is known, from a read or from a peer that knows it.
 
 	void _on_link_up(const std::string &p_vm);
-	void _on_told(const std::string &p_vm, const tell_crashes_message &p_message);
+	void _on_reported(const std::string &p_vm, const tell_crashes_message &p_message);
 	void _send(const std::string &p_vm, const std::vector<crash_record> &p_records, bool p_is_whole);
-	/** What the store holds is known: nobody who is linked need read it. */
+	/** Sends all records to the linked nodes as the content of the store is now known, so that they need not read it. */
 	void _on_store_known();
 	void _read();
 	void _on_read(const store_answer &p_answer);
@@ -48,20 +48,20 @@
 	void _on_written(const request_fingerprint &p_run, bool p_written);
 
 public:
-	/** @param p_on_news gets each record that was news, from a peer or the store, and its source. */
-	crash_exchange(gateway_context &p_context, gateway_fleet &p_fleet, crash_memory &p_memory, std::function<void(const crash_record &, std::string_view)> p_on_news);
+	/** @param p_on_event receives each new record, of this node, a peer or the store, and its source. */
+	crash_exchange(gateway_context &p_context, gateway_fleet &p_fleet, crash_memory &p_memory, std::function<void(const crash_record &, std::string_view)> p_on_event);
 
-	/** Begins to read, in a moment if peers may tell before. */
+	/** Schedules the read of the store: after a delay if there are peers, which may send its content earlier. */
 	void start();
 
-	/** Takes news of this node's own and tells the others. */
-	void tell(const crash_record &p_record);
+	/** Records an event of this node and sends it to the others. */
+	void publish(const crash_record &p_record);
 
-	/** The store came back from an older copy: one node writes what lasts again. */
+	/** Writes the persistent records again after the store was restored from an older copy. Only the first dispatch node does so. */
 	void write_again();
 
-	/** Whether a peer or the store told what is known. */
-	bool is_told() const { return _is_told; }
+	/** Whether a peer or the store has sent its records. */
+	bool is_told() const { return _is_synchronized; }
 };
 
 } // namespace calicoscale
--- a/main/gateway/crash_guard.cpp
+++ b/main/gateway/crash_guard.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: crash_guard.cpp
- * Decides whether a request that was at work at endpoints that ended is sent again.
+ * Decides whether a request that was running at endpoints that crashed is sent again.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -13,15 +13,16 @@
 namespace {
 
 /**
- * News pass two hubs and wait for a turn of three loops. Chosen, not measured: long against that, short against a request's
- * time. The third send that the users' rule leaves is for nodes that are slower.
+ * Wait for announcements of competing trials. An event passes two hubs and waits for a turn of three event loops: this is long
+ * compared with that, and short compared with the time of a request. The third send that the requirement permits covers nodes that
+ * are slower.
  */
 constexpr duration TRIAL_WAIT = std::chrono::milliseconds(250);
-/** A node that starts waits no longer than this to be told; its peers were live to it after 0.2 s (three nodes of a test). */
-constexpr duration LONGEST_UNTOLD = std::chrono::milliseconds(300);
+/** Longest time that a starting node waits for the records of others. Among three nodes, peers counted as live after 0.2 s. */
+constexpr duration MAX_SYNCHRONIZATION_WAIT = std::chrono::milliseconds(300);
 constexpr duration EXPIRY_INTERVAL = std::chrono::seconds(5);
 
-/** Names an endpoint in the news, alike at all nodes. */
+/** Returns the id of an endpoint in events, which is the same at all nodes. */
 std::uint64_t make_subject(const endpoint_identity &p_endpoint) {
 	return hash_bytes(p_endpoint.vm, p_endpoint.incarnation);
 }
@@ -30,8 +31,8 @@
 
 crash_guard::crash_guard(gateway_context &p_context, gateway_fleet &p_fleet, endpoint_follower &p_endpoints) :
 		_context(p_context),
-		_watch(p_context, p_endpoints, [this](const ended_endpoint &p_ended) { _on_ended(p_ended); }),
-		_exchange(p_context, p_fleet, _memory, [this](const crash_record &p_record, std::string_view p_source) { _on_news(p_record, p_source); }),
+		_watch(p_context, p_endpoints, [this](const ended_endpoint &p_crashed) { _on_crashed(p_crashed); }),
+		_exchange(p_context, p_fleet, _memory, [this](const crash_record &p_record, std::string_view p_source) { _on_event(p_record, p_source); }),
 		_expiry_timer(p_context.loop, [this] { _expire(); }) {
 	p_endpoints.era_entered().connect([this] { _exchange.write_again(); });
 }
@@ -43,7 +44,7 @@
 }
 
 bool crash_guard::is_told() const {
-	return _exchange.is_told() || event_loop::now() - _started_at > LONGEST_UNTOLD;
+	return _exchange.is_told() || event_loop::now() - _started_at > MAX_SYNCHRONIZATION_WAIT;
 }
 
 void crash_guard::_expire() {
@@ -59,17 +60,17 @@
 	return _memory.judge(make_fingerprint(p_content), event_loop::now());
 }
 
-void crash_guard::_tell(crash_news p_news, const request_fingerprint &p_run, std::uint64_t p_subject, instant p_at) {
-	_exchange.tell(crash_record{ p_news, p_run, p_subject, p_at });
+void crash_guard::_publish(crash_news p_event, const request_fingerprint &p_run, std::uint64_t p_subject, instant p_at) {
+	_exchange.publish(crash_record{ p_event, p_run, p_subject, p_at });
 }
 
-void crash_guard::_on_ended(const ended_endpoint &p_ended) {
-	for (const request_fingerprint &run : p_ended.runs) {
-		_tell(crash_news::ENDED_ENDPOINT, run, make_subject(p_ended.endpoint), p_ended.lost_at);
+void crash_guard::_on_crashed(const ended_endpoint &p_crashed) {
+	for (const request_fingerprint &run : p_crashed.runs) {
+		_publish(crash_news::ENDED_ENDPOINT, run, make_subject(p_crashed.endpoint), p_crashed.lost_at);
 	}
 }
 
-void crash_guard::_on_news(const crash_record &p_record, std::string_view p_source) {
+void crash_guard::_on_event(const crash_record &p_record, std::string_view p_source) {
 	const instant now = event_loop::now();
 	const crash_verdict verdict = _memory.judge(p_record.run, now);
 	log_line line("crash_news");
@@ -84,48 +85,48 @@
 	}
 	const request_fingerprint run = make_fingerprint(p_content);
 	if (_memory.count_crashes(run) > 0) {
-		_tell(crash_news::SERVED, run, 0, event_loop::now());
+		_publish(crash_news::SERVED, run, 0, event_loop::now());
 	}
 }
 
 std::uint64_t crash_guard::ask_trial(const request_content &p_content, std::function<void(bool)> p_on_answer) {
 	const std::uint64_t trial = _context.random.get_bits();
 	const request_fingerprint run = make_fingerprint(p_content);
-	asked_trial &asked = _asked[trial];
-	asked = asked_trial{ run, std::move(p_on_answer), std::make_unique<timer>(_context.loop, [this, trial] { _answer_trial(trial); }) };
-	asked.wait->set(TRIAL_WAIT);
-	_tell(crash_news::TRIAL_ASKED, run, trial, event_loop::now());
+	asked_trial &requested = _requested[trial];
+	requested = asked_trial{ run, std::move(p_on_answer), std::make_unique<timer>(_context.loop, [this, trial] { _answer_trial(trial); }) };
+	requested.wait->set(TRIAL_WAIT);
+	_publish(crash_news::TRIAL_ASKED, run, trial, event_loop::now());
 	return trial;
 }
 
 void crash_guard::_answer_trial(std::uint64_t p_trial) {
-	const auto found = _asked.find(p_trial);
-	// Freed from the loop, as this runs inside its timer.
-	const std::shared_ptr<asked_trial> asked = std::make_shared<asked_trial>(std::move(found->second));
-	_asked.erase(found);
-	_context.loop.post([asked] {});
+	const auto found = _requested.find(p_trial);
+	// Destroyed later from the event loop, as this function runs inside its timer.
+	const std::shared_ptr<asked_trial> requested = std::make_shared<asked_trial>(std::move(found->second));
+	_requested.erase(found);
+	_context.loop.post([requested] {});
 	const instant now = event_loop::now();
-	const bool may_send = _memory.may_send_trial(asked->run, p_trial, now);
+	const bool may_send = _memory.may_send_trial(requested->run, p_trial, now);
 	if (may_send) {
-		_sent.emplace(p_trial, asked->run);
+		_sent.emplace(p_trial, requested->run);
 	}
-	_tell(may_send ? crash_news::TRIAL_SENT : crash_news::TRIAL_DROPPED, asked->run, p_trial, now);
-	asked->on_answer(may_send);
+	_publish(may_send ? crash_news::TRIAL_SENT : crash_news::TRIAL_DROPPED, requested->run, p_trial, now);
+	requested->on_answer(may_send);
 }
 
 void crash_guard::end_trial(std::uint64_t p_trial) {
-	const auto asked = _asked.find(p_trial);
-	if (asked != _asked.end()) {
-		const request_fingerprint run = asked->second.run;
-		_asked.erase(asked);
-		_tell(crash_news::TRIAL_DROPPED, run, p_trial, event_loop::now());
+	const auto requested = _requested.find(p_trial);
+	if (requested != _requested.end()) {
+		const request_fingerprint run = requested->second.run;
+		_requested.erase(requested);
+		_publish(crash_news::TRIAL_DROPPED, run, p_trial, event_loop::now());
 		return;
 	}
 	const auto sent = _sent.find(p_trial);
 	if (sent != _sent.end()) {
 		const request_fingerprint run = sent->second;
 		_sent.erase(sent);
-		_tell(crash_news::TRIAL_ENDED, run, p_trial, event_loop::now());
+		_publish(crash_news::TRIAL_ENDED, run, p_trial, event_loop::now());
 	}
 }
 
--- a/main/gateway/crash_guard.h
+++ b/main/gateway/crash_guard.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: crash_guard.h
- * Decides whether a request that was at work at endpoints that ended is sent again.
+ * Decides whether a request that was running at endpoints that crashed is sent again.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -21,11 +21,11 @@
 namespace calicoscale {
 
 /**
- * What this node knows of requests that end endpoints: what it saw, what others told, what lasted in the store. A trial is
- * asked for by telling all nodes; the one with the lowest id of those told within a moment is sent.
+ * Keeps what this node knows of requests that crash endpoints, from its own runs, from other nodes and from the store. A node
+ * requests a trial by announcing it to all nodes. Of the trials announced within a short wait, the one with the lowest id is sent.
  */
 class crash_guard {
-	/** A trial that waits to hear of others. */
+	/** A trial that waits for announcements of competing trials. */
 	struct asked_trial {
 		request_fingerprint run;
 		std::function<void(bool)> on_answer;
@@ -36,15 +36,15 @@
 	crash_memory _memory;
 	crash_watch _watch;
 	crash_exchange _exchange;
-	std::map<std::uint64_t, asked_trial> _asked;
-	std::map<std::uint64_t, request_fingerprint> _sent; ///< Trials under way.
+	std::map<std::uint64_t, asked_trial> _requested;
+	std::map<std::uint64_t, request_fingerprint> _sent; ///< Trials in progress, by id.
 	timer _expiry_timer;
 	instant _started_at{};
 
-	void _on_ended(const ended_endpoint &p_ended);
-	void _on_news(const crash_record &p_record, std::string_view p_source);
+	void _on_crashed(const ended_endpoint &p_crashed);
+	void _on_event(const crash_record &p_record, std::string_view p_source);
 	void _answer_trial(std::uint64_t p_trial);
-	void _tell(crash_news p_news, const request_fingerprint &p_run, std::uint64_t p_subject, instant p_at);
+	void _publish(crash_news p_event, const request_fingerprint &p_run, std::uint64_t p_subject, instant p_at);
 	void _expire();
 
 public:
@@ -52,25 +52,26 @@
 
 	void start();
 
-	/** Whether this node was told what others know, or has waited long enough for it. */
+	/** Whether this node has received the records of others, or has waited long enough for them. */
 	bool is_told() const;
 
-	/** How a request stands. Reads its body only if something is known of requests at its place. */
+	/** Returns the verdict on a request. Reads the request's body only if there are records for its target. */
 	crash_verdict judge(const request_content &p_content) const;
 
-	/** A run was lost at an endpoint. */
+	/** Records an interrupted run. */
 	void on_run_lost(const lost_run &p_run) { _watch.on_run_lost(p_run); }
 
-	/** A run ended with a whole answer of its endpoint. */
+	/** Records that a run completed with a complete answer of its endpoint. */
 	void on_run_done(const request_content &p_content);
 
 	/**
-	 * Asks to send a request that is on trial. The hook is called once from the loop, unless the trial is ended before.
+	 * Requests to send a request that is on trial. The hook is called once from the event loop with whether the trial may be sent,
+	 * unless end_trial() is called before.
 	 * @return the trial's id.
 	 */
 	std::uint64_t ask_trial(const request_content &p_content, std::function<void(bool)> p_on_answer);
 
-	/** The request of a trial ended, or is not sent after all. */
+	/** Ends a trial whose request terminated or was not sent. */
 	void end_trial(std::uint64_t p_trial);
 };
 
--- a/main/gateway/gateway_context.cpp
+++ b/main/gateway/gateway_context.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: gateway_context.cpp
- * What the services of one gateway share.
+ * Objects that the services of one gateway share.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
--- a/main/gateway/gateway_context.h
+++ b/main/gateway/gateway_context.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: gateway_context.h
- * What the services of one gateway share.
+ * Objects that the services of one gateway share.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -20,7 +20,7 @@
 
 namespace calicoscale {
 
-/** Parts every service of a gateway uses; owned by the gateway, passed by reference. */
+/** Objects that every service of a gateway uses. The gateway owns them and passes them by reference. */
 struct gateway_context {
 	event_loop &loop;
 	const gateway_settings settings;
--- a/main/gateway/gateway_settings.h
+++ b/main/gateway/gateway_settings.h
@@ -33,23 +33,23 @@
 	network_address link_address;
 	std::optional<network_address> metrics_address;
 	network_address store_address;
-	std::vector<network_address> peers; ///< Links to try before members are known; any may be stale.
-	std::string fleet_key; ///< Shared by the nodes; empty admits every peer.
+	std::vector<network_address> peers; ///< Link addresses to try before members are known. Any of them may be stale.
+	std::string fleet_key; ///< Secret shared by the nodes. If empty, every peer is admitted.
 	retry_bounds retries;
-	double cores = 1.0; ///< Share of a core, or cores, this process may use; the larger nodes dispatch stage pools.
-	double memory_bytes = 256e6; ///< That this process may use.
-	double link_bytes = 125e6; ///< Bytes a second that this VM's link carries.
-	duration configuration_apply = std::chrono::seconds(2); ///< A confirmed change of the configuration is in force within this.
-	duration evacuation_apply = std::chrono::seconds(5); ///< Endpoints of a zone get nothing new this long after its evacuation was confirmed.
-	rollout_bounds rollouts; ///< What a version that is rolled out may get before it is known to be good.
-	std::map<std::string, std::string> regions; ///< Of each availability zone, by its name.
-	mechanism_set mechanisms; ///< Some may be switched off, for measuring what they are worth.
-	duration stop_grace = std::chrono::seconds(8); ///< From the stop signal until the process is killed.
+	double cores = 1.0; ///< Number of cores, possibly fractional, that this process may use. The larger nodes dispatch stage pools.
+	double memory_bytes = 256e6; ///< Memory that this process may use.
+	double link_bytes = 125e6; ///< Capacity of this VM's link in bytes per second.
+	duration configuration_apply = std::chrono::seconds(2); ///< Time within which a confirmed change of the configuration must be in force.
+	duration evacuation_apply = std::chrono::seconds(5); ///< Time after the confirmation of an evacuation from which the zone's endpoints must get no new requests.
+	rollout_bounds rollouts; ///< Limits on the requests that a new version gets before it is known to be good.
+	std::map<std::string, std::string> regions; ///< Region of each availability zone, by the zone's name.
+	mechanism_set mechanisms; ///< Enabled mechanisms. Some may be switched off to measure their effect.
+	duration stop_grace = std::chrono::seconds(8); ///< Time from the stop signal until the process is killed.
 };
 
 /**
  * Parses and checks settings.
- * @throws document_error with every mistake found.
+ * @throws document_error with all problems found.
  */
 gateway_settings parse_gateway_settings(std::string_view p_text);
 
--- a/main/gateway/hub_relay.h
+++ b/main/gateway/hub_relay.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: hub_relay.h
- * Tells records to all nodes through the hubs, each over each link once.
+ * Sends records to all nodes through the hubs. Each record crosses each link once.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -21,8 +21,8 @@
 namespace calicoscale {
 
 /**
- * A node tells the hub it relies on; hubs tell each other what they and their followers know, and their followers what all
- * do. What it costs a node is bounded by the budget of news_digest.
+ * A node sends its records to the hub that it follows. Hubs send each other their own records and those of their followers, and
+ * send their followers the records of all nodes. The budget of news_digest limits the traffic of a node.
  */
 template <typename record>
 class hub_relay {
@@ -32,8 +32,8 @@
 
 private:
 	gateway_fleet &_fleet;
-	news_digest<record> _upward; ///< To other hubs, or to the one this node relies on.
-	news_digest<record> _downward; ///< To the nodes that rely on this one.
+	news_digest<record> _upward; ///< Pending for the other hubs, or for the hub that this node follows.
+	news_digest<record> _downward; ///< Pending for the nodes that follow this one.
 	sender _send_to;
 	timer _timer;
 	bool _is_flush_due = false;
@@ -66,31 +66,32 @@
 	}
 
 public:
+	/** @param p_empty an empty digest, copied for each direction. */
 	hub_relay(event_loop &p_loop, gateway_fleet &p_fleet, const news_digest<record> &p_empty, sender p_send_to) :
 			_fleet(p_fleet), _upward(p_empty), _downward(p_empty), _send_to(std::move(p_send_to)), _timer(p_loop, [this] { _flush(); }) {}
 
-	/** Takes a record of this node's own; it goes out with send_soon(). */
+	/** Adds a record of this node. It is sent by send_soon(). */
 	void add_own(const record &p_record) {
 		_upward.add(p_record);
 		_downward.add(p_record);
 	}
 
-	/** Takes records that another node told, if this node passes them on. */
+	/** Adds records received from another node if this node is a hub, which forwards them. */
 	void add_told(const std::string &p_vm, const std::vector<record> &p_records) {
 		if (!_fleet.is_hub()) {
 			return;
 		}
 		const std::vector<std::string> hubs = _fleet.get_other_hubs();
 		const bool is_from_hub = std::find(hubs.begin(), hubs.end(), p_vm) != hubs.end();
-		for (const record &told : p_records) {
-			_downward.add(told);
+		for (const record &received : p_records) {
+			_downward.add(received);
 			if (!is_from_hub) {
-				_upward.add(told);
+				_upward.add(received);
 			}
 		}
 	}
 
-	/** Sends what is pending: at once if the budget allows, else with the next heartbeat. */
+	/** Sends the pending records: immediately if the budget allows, otherwise after the interval of a heartbeat. */
 	void send_soon() {
 		const instant now = event_loop::now();
 		_send_if_affordable(_upward, _get_upward_receivers(), now);
@@ -101,7 +102,7 @@
 		}
 	}
 
-	/** Records that were not told, in all. */
+	/** Number of records that were dropped unsent since the start. */
 	std::uint64_t get_dropped() const { return _upward.get_dropped() + _downward.get_dropped(); }
 };
 
--- a/main/gateway/newcomer_help.h
+++ b/main/gateway/newcomer_help.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: newcomer_help.h
- * Tells peers what they lack: a newer configuration, and the endpoints while they are not ready.
+ * Sends peers what they lack: a newer configuration, and the endpoints while they are not ready.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -20,35 +20,35 @@
 
 namespace calicoscale {
 
-/** Nodes tell each other the version they have with each heartbeat; documents and lists go only to those that lack them. */
+/** Nodes report their version of the configuration with each heartbeat. Documents and lists are sent only to nodes that lack them. */
 class newcomer_help {
 	configuration_follower &_configuration;
 	endpoint_follower &_endpoints;
 	node_link &_link;
-	std::map<std::uint64_t, instant> _asked_at; ///< By version.
+	std::map<std::uint64_t, instant> _requested_at; ///< When the configuration was last requested, by version.
 	list_budget _lists;
 	list_request _request;
 
-	void _on_asked(const std::string &p_vm, std::uint64_t p_have);
-	void _on_endpoints_asked(const std::string &p_vm);
+	void _on_configuration_requested(const std::string &p_vm, std::uint64_t p_have);
+	void _on_endpoints_requested(const std::string &p_vm);
 	std::size_t _get_list_bytes() const;
-	bool _tell(const std::string &p_vm);
+	bool _send_list(const std::string &p_vm);
 
 public:
 	/** @param p_link_bytes bytes a second that this node's link carries. */
 	newcomer_help(configuration_follower &p_configuration, endpoint_follower &p_endpoints, node_link &p_link, double p_link_bytes);
 
-	/** Asks a peer for the configuration if it has a higher version, once in a while. */
+	/** Requests the configuration from a peer that has a higher version, at a limited rate. */
 	void ask_if_newer(const member_digest &p_peer);
 
-	/** Tells a peer that is not ready and of a version that does not ask all endpoints, once in a while. */
+	/** Sends all endpoints, at a limited rate, to a peer that is not ready and whose version does not request them. */
 	void tell_if_unready(const member_digest &p_peer);
 
-	/** Whether this node asks its peers for the endpoints, as it knows none. */
+	/** Whether this node has to request the endpoints from its peers, as it knows none. */
 	bool needs_list() const;
 
-	/** Asks one of these nodes for the endpoints, unless an answer is awaited. @param p_chance see list_request. */
-	void ask_for_list(const std::vector<list_teller> &p_tellers, double p_chance);
+	/** Requests the endpoints from one of these nodes, unless a request is open. @param p_chance see list_request. */
+	void ask_for_list(const std::vector<list_teller> &p_sources, double p_chance);
 };
 
 } // namespace calicoscale
--- a/main/gateway/prompt_exchange.cpp
+++ b/main/gateway/prompt_exchange.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: prompt_exchange.cpp
- * Tells other nodes which prompts were sent to which engines, through the hubs.
+ * Announces to other nodes, through the hubs, which prompts were sent to which engines.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -16,7 +16,7 @@
 		_engines(p_engines),
 		_own_code(get_origin_code(p_fleet.get_vm())),
 		_relay(p_context.loop, p_fleet, make_prompt_digest(), [this](const std::string &p_vm, const std::vector<told_prompt> &p_prompts) { _send(p_vm, p_prompts); }) {
-	_fleet.get_link().prompts_told().connect([this](const std::string &p_vm, const tell_prompts_message &p_message) { _on_told(p_vm, p_message); });
+	_fleet.get_link().prompts_told().connect([this](const std::string &p_vm, const tell_prompts_message &p_message) { _on_reported(p_vm, p_message); });
 }
 
 void prompt_exchange::tell(const endpoint_identity &p_engine, const std::vector<prompt_link> &p_prompt) {
@@ -28,16 +28,16 @@
 	_relay.send_soon();
 }
 
-void prompt_exchange::_on_told(const std::string &p_vm, const tell_prompts_message &p_message) {
+void prompt_exchange::_on_reported(const std::string &p_vm, const tell_prompts_message &p_message) {
 	const instant now = event_loop::now();
-	std::vector<told_prompt> of_others;
-	for (const told_prompt &told : p_message.prompts) {
-		if (told.origin != _own_code) {
-			_engines.on_sent(told.engine, told.prompt, now);
-			of_others.push_back(told);
+	std::vector<told_prompt> records_of_others;
+	for (const told_prompt &received : p_message.prompts) {
+		if (received.origin != _own_code) {
+			_engines.on_sent(received.engine, received.prompt, now);
+			records_of_others.push_back(received);
 		}
 	}
-	_relay.add_told(p_vm, of_others);
+	_relay.add_told(p_vm, records_of_others);
 	_relay.send_soon();
 }
 
--- a/main/gateway/prompt_exchange.h
+++ b/main/gateway/prompt_exchange.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: prompt_exchange.h
- * Tells other nodes which prompts were sent to which engines, through the hubs.
+ * Announces to other nodes, through the hubs, which prompts were sent to which engines.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -17,7 +17,7 @@
 
 namespace calicoscale {
 
-/** Keeps the view of the engines' caches up with what all nodes send. */
+/** Updates the view of the engines' caches with the prompts that all nodes send. */
 class prompt_exchange {
 	gateway_context &_context;
 	gateway_fleet &_fleet;
@@ -25,13 +25,13 @@
 	std::uint32_t _own_code;
 	hub_relay<told_prompt> _relay;
 
-	void _on_told(const std::string &p_vm, const tell_prompts_message &p_message);
+	void _on_reported(const std::string &p_vm, const tell_prompts_message &p_message);
 	void _send(const std::string &p_vm, const std::vector<told_prompt> &p_prompts);
 
 public:
 	prompt_exchange(gateway_context &p_context, gateway_fleet &p_fleet, engine_view &p_engines);
 
-	/** This node sends a prompt to an engine. */
+	/** Records a prompt that this node sends to an engine, and announces it to the other nodes. */
 	void tell(const endpoint_identity &p_engine, const std::vector<prompt_link> &p_prompt);
 };
 
--- a/main/gateway/rollout_service.cpp
+++ b/main/gateway/rollout_service.cpp
@@ -15,8 +15,8 @@
 namespace {
 
 constexpr duration TICK = std::chrono::milliseconds(100);
-/** Sums are told five times a second; a node that hears none for so long may be the only one not to know of a bad version. */
-constexpr duration LONGEST_SILENCE = std::chrono::milliseconds(1500);
+/** Totals are sent five times a second. A node without one for this long may be the only one that does not know of a bad version. */
+constexpr duration MAX_TOTAL_AGE = std::chrono::milliseconds(1500);
 
 } // namespace
 
@@ -28,17 +28,17 @@
 		_table(p_context.settings.rollouts),
 		_writer(p_context, p_fleet, _table),
 		_tick_timer(p_context.loop, [this] { _tick(); }) {
-	_configuration.topic_read().connect([this](const store_answer &p_answer, bool p_is_whole) { _take_answer(p_answer, p_is_whole); });
-	beat_part part;
-	part.write = [this](beat_peer p_peer, const beat_sender &p_sender, heartbeat_message &r_message) { _write_beat(p_peer, p_sender, r_message); };
-	part.read = [this](const beat_source &p_source, const heartbeat_message &p_message) { _read_beat(p_source, p_message); };
-	part.on_told_hub = [](const heartbeat_message &) {};
-	part.on_lost = [this](const std::string &p_vm) { _sums.forget(p_vm); };
-	part.on_hubs_known = [this] { _sums.forget_total(); };
-	_fleet.add_part(std::move(part));
+	_configuration.topic_read().connect([this](const store_answer &p_answer, bool p_is_whole) { _apply_answer(p_answer, p_is_whole); });
+	beat_part section;
+	section.write = [this](beat_peer p_peer, const beat_sender &p_sender, heartbeat_message &r_message) { _write_heartbeat(p_peer, p_sender, r_message); };
+	section.read = [this](const beat_source &p_source, const heartbeat_message &p_message) { _read_heartbeat(p_source, p_message); };
+	section.on_told_hub = [](const heartbeat_message &) {};
+	section.on_lost = [this](const std::string &p_vm) { _sums.forget(p_vm); };
+	section.on_hubs_known = [this] { _sums.forget_total(); };
+	_fleet.add_part(std::move(section));
 }
 
-void rollout_service::_take_answer(const store_answer &p_answer, bool p_is_whole) {
+void rollout_service::_apply_answer(const store_answer &p_answer, bool p_is_whole) {
 	const read_orders read = read_rollout_orders(p_answer.records, p_answer.era);
 	for (const rejected_order &rejected : read.rejected) {
 		_context.metrics.count("rollout_orders_rejected");
@@ -49,10 +49,10 @@
 	} else if (!read.orders.empty()) {
 		_table.take_records(read.orders, event_loop::now());
 	}
-	_tell_changes();
+	_publish_changes();
 }
 
-void rollout_service::_write_beat(beat_peer p_peer, const beat_sender &p_sender, heartbeat_message &r_message) {
+void rollout_service::_write_heartbeat(beat_peer p_peer, const beat_sender &p_sender, heartbeat_message &r_message) {
 	_role = p_sender;
 	if (_table.is_empty()) {
 		return;
@@ -72,10 +72,10 @@
 	}
 }
 
-void rollout_service::_read_beat(const beat_source &p_source, const heartbeat_message &p_message) {
+void rollout_service::_read_heartbeat(const beat_source &p_source, const heartbeat_message &p_message) {
 	rollout_reports reports;
-	for (const told_rollout &told : p_message.rollouts) {
-		reports[told.order.service] = told.report;
+	for (const told_rollout &update : p_message.rollouts) {
+		reports[update.order.service] = update.report;
 	}
 	const instant now = event_loop::now();
 	if (p_message.relies_on_you) {
@@ -83,7 +83,7 @@
 	} else if (p_message.is_total) {
 		if (p_source.is_relied_on) {
 			_sums.take_total(std::move(reports));
-			_total_at = now;
+			_total_received_at = now;
 		}
 	} else if (p_source.is_other_hub) {
 		_sums.take_peer(p_source.vm, std::move(reports));
@@ -91,14 +91,14 @@
 		_sums.forget(p_source.vm);
 	}
 	if (_table.take_told(p_message.rollouts, now)) {
-		_tell_changes();
+		_publish_changes();
 	}
 }
 
 rollout_view rollout_service::_get_view(const rollout &p_rollout, instant p_now) const {
 	rollout_view view;
 	view.live_nodes = _fleet.get_live_count();
-	view.is_fresh = _role.is_hub ? _role.knows_hubs : p_now - _total_at < LONGEST_SILENCE;
+	view.is_fresh = _role.is_hub ? _role.knows_hubs : p_now - _total_received_at < MAX_TOTAL_AGE;
 	const rollout_reports total = _sums.get_total();
 	const auto report = total.find(p_rollout.get_order().service);
 	if (report != total.end()) {
@@ -111,7 +111,7 @@
 	return view;
 }
 
-void rollout_service::_tell_changes() {
+void rollout_service::_publish_changes() {
 	const std::vector<rollout_change> changes = _table.take_changes();
 	for (const rollout_change &change : changes) {
 		const bool is_known = _configuration.get_current() && _configuration.get_current()->find_service(change.service) != nullptr;
@@ -154,7 +154,7 @@
 	_sums.set_own(_table.get_reports(now));
 	_table.consider([this, now](const rollout &p_rollout) { return _get_view(p_rollout, now); }, now);
 	_writer.tick();
-	_tell_changes();
+	_publish_changes();
 	_tick_timer.set(TICK);
 }
 
@@ -177,7 +177,7 @@
 	return p_for_target ? side == version_side::TARGET && entry->is_on_trial(p_listing.vm, event_loop::now()) : side == version_side::PRESENT;
 }
 
-bool rollout_service::may_call(const std::string &p_service, const std::string &p_replica, std::size_t p_pieces) const {
+bool rollout_service::may_call(const std::string &p_service, const std::string &p_replica, std::size_t p_items) const {
 	const rollout *entry = _table.find(p_service);
 	const auto version = _versions.find(p_replica);
 	if (entry == nullptr || version == _versions.end()) {
@@ -194,17 +194,17 @@
 			break;
 	}
 	const auto counted = _call_shares.find(p_service);
-	return share >= 1.0 || (counted != _call_shares.end() && counted->second.has_place(p_pieces, share) && entry->is_on_trial(p_replica, now));
+	return share >= 1.0 || (counted != _call_shares.end() && counted->second.has_place(p_items, share) && entry->is_on_trial(p_replica, now));
 }
 
-version_run rollout_service::on_call(const std::string &p_service, const std::string &p_replica, std::size_t p_pieces) {
+version_run rollout_service::on_call(const std::string &p_service, const std::string &p_replica, std::size_t p_items) {
 	const rollout *entry = _table.find(p_service);
 	const auto version = _versions.find(p_replica);
 	version_run run{ p_service, p_replica, version == _versions.end() ? std::string() : version->second };
 	if (entry != nullptr) {
 		call_share &share = _call_shares[p_service];
 		share.set_order(entry->get_order().at);
-		share.add(p_pieces, entry->get_side(run.version) == version_side::TARGET);
+		share.add(p_items, entry->get_side(run.version) == version_side::TARGET);
 	}
 	on_started(run);
 	return run;
--- a/main/gateway/rollout_service.h
+++ b/main/gateway/rollout_service.h
@@ -26,7 +26,7 @@
 
 namespace calicoscale {
 
-/** A run at an endpoint, as far as versions are concerned. */
+/** Identifies a run at an endpoint for the accounting by version. */
 struct version_run {
 	std::string service;
 	std::string endpoint;
@@ -34,8 +34,8 @@
 };
 
 /**
- * Follows the operator's orders in the configuration's topic, tells peers of them and of answers with heartbeats, bounds what
- * versions get, and writes the outcome.
+ * Follows the operator's orders in the configuration's topic, exchanges them and counts of answers with peers by heartbeats, limits
+ * the share of requests that each version gets, and writes the outcome to the store.
  */
 class rollout_service {
 	gateway_context &_context;
@@ -46,54 +46,54 @@
 	rollout_writer _writer;
 	hub_sums<rollout_reports> _sums{ &add_reports };
 	beat_sender _role;
-	instant _total_at{}; ///< When the hub that this node relies on last told the sum of all.
+	instant _total_received_at{}; ///< When the hub that this node follows last sent the total of all nodes.
 	version_runs _runs;
 	version_times _times;
 	std::map<std::string, call_share> _call_shares; ///< By service, for calls that this node dispatches.
-	std::unordered_map<std::string, std::string> _versions; ///< Of endpoints of services that are rolled out, by name.
+	std::unordered_map<std::string, std::string> _versions; ///< Version of each endpoint of the services that are rolled out, by endpoint name.
 	timer _tick_timer;
 
-	void _take_answer(const store_answer &p_answer, bool p_is_whole);
-	void _write_beat(beat_peer p_peer, const beat_sender &p_sender, heartbeat_message &r_message);
-	void _read_beat(const beat_source &p_source, const heartbeat_message &p_message);
+	void _apply_answer(const store_answer &p_answer, bool p_is_whole);
+	void _write_heartbeat(beat_peer p_peer, const beat_sender &p_sender, heartbeat_message &r_message);
+	void _read_heartbeat(const beat_source &p_source, const heartbeat_message &p_message);
 	rollout_view _get_view(const rollout &p_rollout, instant p_now) const;
-	void _tell_changes();
+	void _publish_changes();
 	void _tick();
 
 public:
 	rollout_service(gateway_context &p_context, configuration_follower &p_configuration, endpoint_follower &p_endpoints, gateway_fleet &p_fleet);
 
-	/** Takes the endpoints of the services that are rolled out, from the list of all. */
+	/** Selects the endpoints of the services that are rolled out from the list of all endpoints. */
 	void set_endpoints(const std::vector<endpoint_listing> &p_listings);
 
-	/** Whether there is, or was, an order to move a service. */
+	/** Whether there is or was an order to move a service. */
 	bool is_rolled_out(const std::string &p_service) const { return _table.find(p_service) != nullptr; }
 
-	/** Whether requests of a service that are chosen for it go to the target of a roll-out. */
+	/** Whether a request of a service is among those selected for the target version of its roll-out. */
 	bool is_for_target(const std::string &p_service, const std::string &p_request) const;
 
-	/** Whether all requests of a service go to the target. */
+	/** Whether all requests of a service go to the target version. */
 	bool has_moved(const std::string &p_service) const;
 
-	/** Whether an endpoint may get requests, of those for the target or of the others. */
+	/** Whether an endpoint may get requests: those selected for the target version if p_for_target, otherwise the others. */
 	bool admits(const endpoint_listing &p_listing, bool p_for_target) const;
 
-	/** Whether a call to a stage pool's replica keeps to the shares. @param p_pieces that it may carry. */
-	bool may_call(const std::string &p_service, const std::string &p_replica, std::size_t p_pieces) const;
+	/** Whether a call to a replica of a stage pool stays within the versions' shares. @param p_items number of items that the call may carry. */
+	bool may_call(const std::string &p_service, const std::string &p_replica, std::size_t p_items) const;
 
-	/** A call was sent. Returns what to end it with. */
-	version_run on_call(const std::string &p_service, const std::string &p_replica, std::size_t p_pieces);
+	/** Records that a call was sent. Returns the run to pass to on_ended(). */
+	version_run on_call(const std::string &p_service, const std::string &p_replica, std::size_t p_items);
 
-	/** A request was sent. */
+	/** Records that a request was sent. */
 	void on_started(const version_run &p_run) { _runs.on_started(p_run.service, p_run.version); }
 
-	/** A run ended, however. */
+	/** Records that a run ended, with any outcome. */
 	void on_ended(const version_run &p_run) { _runs.on_ended(p_run.service, p_run.version); }
 
-	/** An endpoint answered, or failed to. @param p_elapsed since it was asked. */
+	/** Records an answer or a failure of an endpoint. @param p_elapsed time since the request was sent. */
 	void on_answer(const version_run &p_run, const std::string &p_route, bool p_has_failed, duration p_elapsed);
 
-	/** Writes gauges. */
+	/** Updates the gauges of all roll-outs. */
 	void report();
 };
 
--- a/main/gateway/rollout_writer.cpp
+++ b/main/gateway/rollout_writer.cpp
@@ -17,22 +17,22 @@
 
 namespace {
 
-/** A node that reads and writes at once is done by then, and has told the others. */
-constexpr duration TURN = std::chrono::milliseconds(1500);
+/** Time of one turn. A node that reads and writes without a failure has finished within it, and has notified the others. */
+constexpr duration TURN_INTERVAL = std::chrono::milliseconds(1500);
 constexpr duration PAUSE_AFTER_FAILURE = std::chrono::seconds(1);
-/** Nodes beyond this rank leave the writing to others. */
-constexpr std::ptrdiff_t MOST_WRITERS = 8;
+/** Maximum number of turns. All nodes of a lower rank wait for this number of turns. */
+constexpr std::ptrdiff_t MAX_WRITERS = 8;
 
 } // namespace
 
-duration rollout_writer::_get_patience(const std::string &p_service) const {
+duration rollout_writer::_get_write_delay(const std::string &p_service) const {
 	const std::vector<std::string> nodes = _fleet.get_dispatch_nodes();
 	const auto score = [&p_service](const std::string &p_vm) { return hash_bytes(p_service + "/" + p_vm); };
 	const std::uint64_t own = score(_fleet.get_vm());
 	const bool is_writer = nodes.empty() || std::find(nodes.begin(), nodes.end(), _fleet.get_vm()) != nodes.end();
-	const std::ptrdiff_t before = std::count_if(nodes.begin(), nodes.end(), [&score, own](const std::string &p_vm) { return score(p_vm) > own; });
-	// A node that dispatches nothing writes where all that do cannot.
-	return TURN * (is_writer ? std::min(before, MOST_WRITERS) : MOST_WRITERS);
+	const std::ptrdiff_t higher_ranked = std::count_if(nodes.begin(), nodes.end(), [&score, own](const std::string &p_vm) { return score(p_vm) > own; });
+	// A node that dispatches nothing writes only if no dispatching node can.
+	return TURN_INTERVAL * (is_writer ? std::min(higher_ranked, MAX_WRITERS) : MAX_WRITERS);
 }
 
 void rollout_writer::tick() {
@@ -45,7 +45,7 @@
 		}
 		pending_write &pending = _pending[service];
 		if (pending.since == instant{} || pending.state != status->state || pending.order != status->order) {
-			pending = pending_write{ status->state, status->order, now, now + _get_patience(service), false };
+			pending = pending_write{ status->state, status->order, now, now + _get_write_delay(service), false };
 		}
 		if (!pending.is_busy && now >= pending.next_try) {
 			pending.is_busy = true;
--- a/main/gateway/rollout_writer.h
+++ b/main/gateway/rollout_writer.h
@@ -19,15 +19,15 @@
 namespace calicoscale {
 
 /**
- * Any node may write, and may end or be cut off at any step: the state in the store is read first, and written only if the topic
- * has got no other record since, so that the first final state of an order stands. Nodes take turns by rank, so that usually one
- * writes; the next one does when the state is still not written after a while.
+ * Any node may write, and may crash or lose its connection at any step. Therefore a node reads the state in the store first, and
+ * writes only if the topic has received no other record since, so that the first final state of an order is kept. Nodes take turns
+ * by rank, so that typically one node writes. The next one writes if the state is still missing after the turn.
  */
 class rollout_writer {
 	struct pending_write {
 		rollout_state state = rollout_state::IN_PROGRESS;
 		log_position order;
-		instant since{}; ///< When it was found unwritten first.
+		instant since{}; ///< When the state was first found unwritten.
 		instant next_try{};
 		bool is_busy = false;
 	};
@@ -37,7 +37,8 @@
 	rollout_table &_table;
 	std::map<std::string, pending_write> _pending; ///< By service.
 
-	duration _get_patience(const std::string &p_service) const;
+	/** Returns the time for which this node leaves the writing to nodes of a higher rank. */
+	duration _get_write_delay(const std::string &p_service) const;
 	void _read(const rollout_status &p_status);
 	void _on_read(const rollout_status &p_status, const store_answer &p_answer);
 	void _on_put(const rollout_status &p_status, put_end p_end);
@@ -47,7 +48,7 @@
 	rollout_writer(gateway_context &p_context, gateway_fleet &p_fleet, rollout_table &p_table) :
 			_context(p_context), _fleet(p_fleet), _table(p_table) {}
 
-	/** Begins to write what is unwritten and this node's turn. To be called often. */
+	/** Begins to write the unwritten states for which it is this node's turn. To be called often. */
 	void tick();
 };
 
--- a/main/gateway/store_sharing.cpp
+++ b/main/gateway/store_sharing.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: store_sharing.cpp
- * Which node of a zone reads the store for the others, and what it tells them.
+ * Chooses the node of a zone that reads the store for the others, and sends them what it read.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -12,30 +12,33 @@
 
 namespace {
 
-constexpr duration NAMES_INTERVAL = std::chrono::seconds(2);
-constexpr duration NAME_RETRY = std::chrono::seconds(3);
-/** A node that starts takes itself for a hub until it hears others, and finds them by its seeds if any of these lives. */
-constexpr duration NAMES_AFTER = std::chrono::milliseconds(700);
+constexpr duration NAME_READ_INTERVAL = std::chrono::seconds(2);
+constexpr duration NAME_WRITE_RETRY = std::chrono::seconds(3);
+/**
+ * Time for which a starting node with seed addresses does not use the names in the store. It considers itself a hub until it has
+ * contact with others, and finds them through the seeds if any of these is reachable.
+ */
+constexpr duration DISCOVERY_TIME = std::chrono::milliseconds(700);
 
 } // namespace
 
 store_sharing::store_sharing(gateway_context &p_context, configuration_follower &p_configuration, endpoint_follower &p_endpoints, node_link &p_link, store_sharing_hooks p_hooks) :
 		_context(p_context), _configuration(p_configuration), _endpoints(p_endpoints), _link(p_link), _hooks(std::move(p_hooks)), _started_at(event_loop::now()) {
 	_link.endpoints_told().connect([this](const std::string &p_vm, const tell_endpoints_message &p_message) { _endpoints.offer(p_message.endpoints, p_message.known, p_vm); });
-	_link.reading_told().connect([this](const std::string &p_vm, const tell_reading_message &p_message) { _on_reading_told(p_vm, p_message.reading); });
-	_endpoints.reading_taken().connect([this](const endpoint_reading &p_reading) { _tell_reading(p_reading); });
-	// The copy may be of before this node wrote its name.
-	_endpoints.era_entered().connect([this] { _is_named = false; });
+	_link.reading_told().connect([this](const std::string &p_vm, const tell_reading_message &p_message) { _on_delta_reported(p_vm, p_message.reading); });
+	_endpoints.reading_taken().connect([this](const endpoint_reading &p_reading) { _publish_delta(p_reading); });
+	// The copy may be older than the record with this node's name.
+	_endpoints.era_entered().connect([this] { _is_name_written = false; });
 }
 
 void store_sharing::set_zone_nodes(const std::vector<overlay_node> &p_nodes) {
-	const std::size_t place = find_reading_place(_context.settings.vm, p_nodes);
-	_configuration.set_place(place);
-	_endpoints.set_place(place);
+	const std::size_t rank = find_reading_place(_context.settings.vm, p_nodes);
+	_configuration.set_place(rank);
+	_endpoints.set_place(rank);
 }
 
-bool store_sharing::_is_meeting_peers() const {
-	return !_context.settings.peers.empty() && _link.get_linked().empty() && event_loop::now() - _started_at < NAMES_AFTER;
+bool store_sharing::_is_discovering_peers() const {
+	return !_context.settings.peers.empty() && _link.get_linked().empty() && event_loop::now() - _started_at < DISCOVERY_TIME;
 }
 
 void store_sharing::set_hubs(const std::vector<std::string> &p_hubs) {
@@ -44,7 +47,7 @@
 	if (!_context.settings.mechanisms.has(mechanism::STORE_READERS)) {
 		return;
 	}
-	const bool is_patient = !is_reader() || _is_meeting_peers();
+	const bool is_patient = !is_reader() || _is_discovering_peers();
 	_configuration.set_patient(is_patient);
 	_endpoints.set_patient(is_patient);
 	if (is_reader() != was_reader) {
@@ -57,19 +60,19 @@
 	if (!_context.settings.mechanisms.has(mechanism::STORE_READERS)) {
 		return;
 	}
-	const bool is_covered = _cover.is_covered(_configuration.get_version(), _hooks.is_heard, event_loop::now());
+	const bool is_covered = _coverage.is_covered(_configuration.get_version(), _hooks.is_heard, event_loop::now());
 	_configuration.set_covered(!is_reader() && is_covered && _configuration.get_current() != nullptr);
 }
 
 void store_sharing::on_heartbeat(const std::string &p_vm, const heartbeat_message &p_message, std::uint64_t p_version) {
-	// A node of a version that knows no evacuations cannot tell them, so this one reads for itself.
+	// A node of a version without evacuations cannot report them, so this node reads by itself.
 	const bool follows = p_message.follows && p_message.evacuations.known != log_position();
-	if (_cover.on_heartbeat(p_vm, follows, p_message.next_in, p_version)) {
+	if (_coverage.on_heartbeat(p_vm, follows, p_message.next_in, p_version)) {
 		update_cover();
 	}
 }
 
-void store_sharing::_tell_reading(const endpoint_reading &p_reading) {
+void store_sharing::_publish_delta(const endpoint_reading &p_reading) {
 	if (!is_reader() || !_context.settings.mechanisms.has(mechanism::STORE_READERS)) {
 		return;
 	}
@@ -80,29 +83,29 @@
 	}
 }
 
-void store_sharing::_on_reading_told(const std::string &p_vm, const endpoint_reading &p_reading) {
+void store_sharing::_on_delta_reported(const std::string &p_vm, const endpoint_reading &p_reading) {
 	if (!_context.settings.mechanisms.has(mechanism::STORE_READERS)) {
 		return;
 	}
 	_hooks.collect_news();
 	_endpoints.take_reading(p_reading, p_vm);
-	// The reader tells all nodes what it saw; that need not be told again by each node of its zone.
+	// The reader announces these updates to all nodes. The other nodes of its zone need not announce them again.
 	_endpoints.get_directory().take_news();
 	_endpoints.get_directory().take_gone();
 }
 
 void store_sharing::use_names(bool p_is_hub) {
 	const instant now = event_loop::now();
-	if (!_context.settings.peers.empty() && now - _started_at < NAMES_AFTER) {
+	if (!_context.settings.peers.empty() && now - _started_at < DISCOVERY_TIME) {
 		return;
 	}
-	// Whoever finds a hub finds all nodes.
-	if (!_is_named && p_is_hub && now - _named_at > NAME_RETRY) {
-		_named_at = now;
+	// Only hubs write their names, as a node that finds one hub finds all nodes through it.
+	if (!_is_name_written && p_is_hub && now - _name_write_at > NAME_WRITE_RETRY) {
+		_name_write_at = now;
 		_write_name();
 	}
-	// Seeds may all be stale, and a zone that was cut off may know nobody: then the names in the store help.
-	if (_link.get_linked().empty() && now - _read_names_at > NAMES_INTERVAL) {
+	// All seeds may be stale, and a zone that was partitioned may have no link: then the names in the store are used.
+	if (_link.get_linked().empty() && now - _read_names_at > NAME_READ_INTERVAL) {
 		_read_names_at = now;
 		_read_names();
 	}
@@ -110,7 +113,7 @@
 
 void store_sharing::_write_name() {
 	const std::string value = to_string(_link.get_address()) + " " + _context.settings.zone;
-	_context.store.put(std::string(get_node_topic()), _context.settings.vm, value, [this](bool p_written) { _is_named = _is_named || p_written; });
+	_context.store.put(std::string(get_node_topic()), _context.settings.vm, value, [this](bool p_written) { _is_name_written = _is_name_written || p_written; });
 }
 
 void store_sharing::_read_names() {
--- a/main/gateway/store_sharing.h
+++ b/main/gateway/store_sharing.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: store_sharing.h
- * Which node of a zone reads the store for the others, and what it tells them.
+ * Chooses the node of a zone that reads the store for the others, and sends them what it read.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -21,53 +21,53 @@
 
 namespace calicoscale {
 
-/** What the sharing of the store asks of the fleet. */
+/** Callbacks from store_sharing to the fleet. */
 struct store_sharing_hooks {
-	std::function<bool(const std::string &)> is_heard; ///< A node answered just now.
+	std::function<bool(const std::string &)> is_heard; ///< Whether there was recent contact with a node.
 	std::function<bool(const std::string &)> is_in_own_zone;
-	std::function<void()> collect_news; ///< Takes the news of endpoints so far, before what a reader told is taken in.
+	std::function<void()> collect_news; ///< Collects the pending updates of endpoints before a reader's delta is applied.
 };
 
-/** One hub of a zone reads the store; the others are told, and read by themselves only when nobody tells. */
+/** One hub of a zone reads the store and sends what it read to the others, which read by themselves only if nothing arrives. */
 class store_sharing {
 	gateway_context &_context;
 	configuration_follower &_configuration;
 	endpoint_follower &_endpoints;
 	node_link &_link;
 	const store_sharing_hooks _hooks;
-	store_cover _cover;
+	store_cover _coverage;
 	std::string _reader;
 	instant _started_at{};
-	bool _is_named = false; ///< This node's name is in the store.
-	instant _named_at{};
+	bool _is_name_written = false; ///< This node's name and address are in the store.
+	instant _name_write_at{};
 	instant _read_names_at{};
 
-	void _tell_reading(const endpoint_reading &p_reading);
-	void _on_reading_told(const std::string &p_vm, const endpoint_reading &p_reading);
-	/** Whether this node has just started and may still find those that read for it: alone, it takes itself for the reader. */
-	bool _is_meeting_peers() const;
+	void _publish_delta(const endpoint_reading &p_reading);
+	void _on_delta_reported(const std::string &p_vm, const endpoint_reading &p_reading);
+	/** Whether this node has just started and may still find peers that read for it. Without links it chooses itself as the reader. */
+	bool _is_discovering_peers() const;
 	void _write_name();
 	void _read_names();
 
 public:
 	store_sharing(gateway_context &p_context, configuration_follower &p_configuration, endpoint_follower &p_endpoints, node_link &p_link, store_sharing_hooks p_hooks);
 
-	/** Sets the nodes of this zone, for the order in which they read the endpoints while nobody tells them. */
+	/** Sets the nodes of this zone, which determine the order in which they read while no peer sends the data. */
 	void set_zone_nodes(const std::vector<overlay_node> &p_nodes);
 
-	/** Chooses the reader among the hubs of the zone; this node reads by itself when there are none. */
+	/** Chooses the reader among the hubs of the zone. This node reads by itself if there are none. */
 	void set_hubs(const std::vector<std::string> &p_hubs);
 
-	/** Leaves the configuration to peers that follow it, or takes it up. */
+	/** Stops following the configuration in the store while responsive peers follow it, and resumes otherwise. */
 	void update_cover();
 
-	/** Writes this node's name if it is a hub, and reads those of others when nobody is linked. */
+	/** Writes this node's name and address to the store if it is a hub, and reads those of others if no node is linked. */
 	void use_names(bool p_is_hub);
 
-	/** A peer said whether it follows the configuration in the store. */
+	/** Records whether a peer follows the configuration in the store. */
 	void on_heartbeat(const std::string &p_vm, const heartbeat_message &p_message, std::uint64_t p_version);
 
-	/** The node that reads for the zone; the others of the zone rely on it. */
+	/** Returns the node that reads for the zone, which the others of the zone follow. */
 	const std::string &get_reader() const { return _reader; }
 	bool is_reader() const { return _reader == _context.settings.vm; }
 };
--- a/misc/scripts/soak_mutations.sh
+++ b/misc/scripts/soak_mutations.sh
@@ -71,7 +71,7 @@
 	_context.loop.stop();"
 mutate "configuration" "a new one is not taken once there is one" platform/configuration_reader.cpp "if (_current && offered->version <= _current->version)" "if (_current)"
 mutate "configuration" "an older one replaces a newer one" platform/configuration_reader.cpp "if (_current && offered->version <= _current->version)" "if (false)" --copies
-mutate "silent store" "a read without an answer is never repeated" main/gateway/topic_reader.cpp "	_send(*beside);" "" --silences
+mutate "silent store" "a read without an answer is never repeated" main/gateway/topic_reader.cpp "	_send(*repeated_read);" "" --silences
 mutate "leaving" "the state of an endpoint is ignored" platform/endpoint_codec.cpp "	return r_listing.leaving || *state == SERVING_STATE" "	const bool was_leaving = r_listing.leaving;
 	r_listing.leaving = false;
 	return was_leaving || *state == SERVING_STATE"
