--- a/main/gateway/configuration_follower.cpp
+++ b/main/gateway/configuration_follower.cpp
@@ -62,7 +62,7 @@
 
 void configuration_follower::_apply_records(const store_answer &p_answer, bool p_is_whole) {
 	_topic_read.emit(p_answer, p_is_whole);
-	// Versions increase with the offset, and parsing one takes milliseconds, so that only the newest valid one is parsed.
+	// Versions increase with the offset, and parsing one takes milliseconds: begins with the newest and stops at the first valid one.
 	for (auto record = p_answer.records.rbegin(); record != p_answer.records.rend(); ++record) {
 		if (record->key == get_configuration_key() && record->value && offer(*record->value, "store")) {
 			break;
--- a/main/gateway/crash_watch.h
+++ b/main/gateway/crash_watch.h
@@ -20,7 +20,7 @@
 
 namespace calicoscale {
 
-/** A run whose connection crashed before the answer was complete, so that its outcome is unknown. */
+/** A run whose connection ended before the answer was complete, so that its outcome is unknown. */
 struct lost_run {
 	std::string attempt; ///< Id of its request, for logs.
 	request_fingerprint fingerprint;
--- a/main/gateway/endpoint_follower.cpp
+++ b/main/gateway/endpoint_follower.cpp
@@ -27,13 +27,19 @@
  * within the two seconds after which an endpoint that leaves must get no new work.
  */
 constexpr duration PEER_READ_TIMEOUT = std::chrono::milliseconds(1350);
-/** Longest retry interval while the store rejects both this node and its reader. Well below the two seconds for which entries are kept after an outage. */
+/**
+ * Longest retry interval while the store rejects both this node and its reader. Well below the two seconds for which entries are
+ * kept after an outage.
+ */
 constexpr duration MAX_RETRY_INTERVAL = std::chrono::milliseconds(1000);
 /** Shortest interval between snapshots that are read because lists differ, as two nodes may differ for a while after an outage. */
 constexpr duration MIN_SNAPSHOT_INTERVAL = std::chrono::seconds(4);
 /** Nodes that learn of a new era of the store from a peer spread their reads over this time. */
 constexpr duration ERA_SPREAD = std::chrono::milliseconds(600);
-/** When a fleet starts together, one node of each zone reads the snapshot. A node that has not received it within this time reads it too. */
+/**
+ * When a fleet starts together, one node of each zone reads the snapshot. A node that has not received it within this time reads
+ * it too.
+ */
 constexpr duration FIRST_READ_DELAY = std::chrono::milliseconds(1500);
 /** Interval between the first reads of nodes of a zone, which read one after the other while no peer sends the list. */
 constexpr duration FIRST_READ_STEP = std::chrono::milliseconds(500);
--- a/main/gateway/endpoint_follower.h
+++ b/main/gateway/endpoint_follower.h
@@ -35,7 +35,10 @@
 	void _on_answer(const store_answer &p_answer, bool p_is_whole);
 	void _on_failure();
 	void _on_new_era();
-	/** Returns the time until the next own read. @param p_awaits_entries some entries are missing since an outage of the store and may come back. */
+	/**
+	 * Returns the time until the next own read.
+	 * @param p_awaits_entries some entries are missing since an outage of the store and may come back.
+	 */
 	duration _get_read_interval(bool p_awaits_entries) const;
 	void _set_timers();
 	endpoint_reading _apply_records(const store_answer &p_answer);
--- a/main/gateway/rollout_service.h
+++ b/main/gateway/rollout_service.h
@@ -78,7 +78,10 @@
 	/** Whether an endpoint may get requests: those selected for the target version if p_for_target, otherwise the others. */
 	bool admits(const endpoint_listing &p_listing, bool p_for_target) const;
 
-	/** Whether a call to a replica of a stage pool stays within the versions' shares. @param p_items number of items that the call may carry. */
+	/**
+	 * Whether a call to a replica of a stage pool stays within the versions' shares.
+	 * @param p_items number of items that the call may carry.
+	 */
 	bool may_call(const std::string &p_service, const std::string &p_replica, std::size_t p_items) const;
 
 	/** Records that a call was sent. Returns the run to pass to on_ended(). */
--- a/main/gateway/topic_reader.h
+++ b/main/gateway/topic_reader.h
@@ -20,7 +20,7 @@
 
 /** Callbacks from a topic_reader to its owner. */
 struct topic_reader_hooks {
-	std::function<void(const store_answer &p_answer, bool p_is_whole)> on_answer; ///< p_is_whole: the answer is a snapshot, with the newest record of each key.
+	std::function<void(const store_answer &p_answer, bool p_is_whole)> on_answer; ///< p_is_whole: the answer is a snapshot.
 	std::function<void()> on_failure; ///< A read failed without an answer.
 	std::function<void()> on_new_era; ///< The store was restored from an older copy; a snapshot of the topic is read next.
 	std::function<void(log_line &r_line)> describe; ///< Adds the owner's current state to the log line that reports a lost or regained store.
