--- a/core/bounded_body.h
+++ b/core/bounded_body.h
@@ -16,7 +16,7 @@
 namespace calicoscale {
 
 /**
- * Collects the bytes of a body up to a maximum. Once the body exceeds it, the bytes are discarded and is_whole() is false, so that
+ * Collects the bytes of a body up to a maximum. Once the body exceeds it, the bytes are discarded and is_complete() is false, so that
  * a truncated body can't be mistaken for a complete shorter one.
  */
 class bounded_body {
@@ -36,7 +36,7 @@
 	void clear();
 
 	/** Whether all bytes appended since the last clear() are stored. */
-	bool is_whole() const { return _is_whole; }
+	bool is_complete() const { return _is_whole; }
 
 	/** The complete body; empty when it exceeded the maximum. */
 	const std::string &get() const { return _bytes; }
--- a/core/hold_up.h
+++ b/core/process_stall.h
@@ -1,13 +1,13 @@
 /*
- * calicoscale: hold_up.h
+ * calicoscale: process_stall.h
  * Detects that the process was stalled, and whether its VM was suspended.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#ifndef HOLD_UP_H
-#define HOLD_UP_H
+#ifndef PROCESS_STALL_H
+#define PROCESS_STALL_H
 
 #include "core/time.h"
 
@@ -22,22 +22,22 @@
 };
 
 /** Why a process was stalled. */
-enum class hold_up_cause {
+enum class stall_cause {
 	PAUSE, ///< The process was stopped, got no processor time, or ran one callback for long.
 	SUSPENSION, ///< The VM was suspended.
 };
 
 /** Name of a cause, e.g. "suspension". */
-std::string_view get_name(hold_up_cause p_cause);
+std::string_view get_name(stall_cause p_cause);
 
 /** A process stall: a period in which the process did not run timers that were due. */
-struct hold_up {
+struct process_stall {
 	duration late = duration::zero(); ///< Delay of the timer that was due first; zero when there was no stall.
-	hold_up_cause cause = hold_up_cause::PAUSE;
+	stall_cause cause = stall_cause::PAUSE;
 };
 
 /** Detects process stalls. The caller passes the current time. */
-class hold_up_watch {
+class stall_detector {
 	clock_reading _last;
 
 public:
@@ -45,9 +45,9 @@
 	static constexpr duration MIN_STALL = std::chrono::milliseconds(100);
 
 	/** Records that the process runs. @param p_late delay of the timer that is due first. @return the stall; its delay is zero when there was none. */
-	hold_up note(const clock_reading &p_now, duration p_late);
+	process_stall note(const clock_reading &p_now, duration p_late);
 };
 
 } // namespace calicoscale
 
-#endif // HOLD_UP_H
+#endif // PROCESS_STALL_H
--- a/core/verdict.cpp
+++ b/core/verdict.cpp
@@ -57,10 +57,10 @@
 		{ reason::ENDPOINT_ERROR, "endpoint_error", 503 },
 		{ reason::WRONG_ECHO, "wrong_echo", 503 },
 		{ reason::CANCELLED, "cancelled", 503 },
-		{ reason::CALLER_GONE, "caller_gone", 503 },
+		{ reason::CALLER_DISCONNECTED, "caller_gone", 503 },
 		{ reason::DRAINING, "draining", 503 },
 		{ reason::NOT_READY, "not_ready", 503 },
-		{ reason::ENDS_ENDPOINTS, "ends_endpoints", 503 },
+		{ reason::CRASHES_ENDPOINTS, "ends_endpoints", 503 },
 } };
 
 } // namespace
--- a/core/verdict.h
+++ b/core/verdict.h
@@ -50,10 +50,10 @@
 	ENDPOINT_ERROR,
 	WRONG_ECHO,
 	CANCELLED,
-	CALLER_GONE,
+	CALLER_DISCONNECTED,
 	DRAINING,
 	NOT_READY,
-	ENDS_ENDPOINTS, ///< Endpoints crashed while they ran the same request before.
+	CRASHES_ENDPOINTS, ///< Endpoints crashed while they ran the same request before.
 };
 
 struct outcome {
--- a/drivers/caller_connection.cpp
+++ b/drivers/caller_connection.cpp
@@ -26,7 +26,7 @@
 namespace {
 
 /** A caller may send this much ahead of its answer before it is made to wait. */
-constexpr std::size_t MOST_READ_AHEAD = 256 * 1024;
+constexpr std::size_t MAX_READ_AHEAD = 256 * 1024;
 /** How long the caller's end is awaited once the last answer is written, so that a reset does not destroy that answer. */
 constexpr duration LINGER = std::chrono::seconds(1);
 /**
@@ -74,7 +74,7 @@
 
 void caller_connection::_tell_flow() {
 	const std::size_t untaken = _get_untaken();
-	const bool is_full = _is_full ? !_shared.writes.has_room(untaken) : _shared.writes.is_full(untaken);
+	const bool is_full = _is_full ? !_shared.writes.has_capacity(untaken) : _shared.writes.is_full(untaken);
 	if (is_full == _is_full) {
 		return;
 	}
@@ -128,8 +128,8 @@
 }
 
 void caller_connection::_note_crossed(std::size_t p_bytes, bool p_was_read) {
-	if (p_bytes > 0 && _shared.on_crossed) {
-		_shared.on_crossed(crossed_end{ _end, event_loop::now() - _ended_at, _ended_at - _idle_since, p_bytes, p_was_read });
+	if (p_bytes > 0 && _shared.on_post_close_input) {
+		_shared.on_post_close_input(post_close_input{ _end, event_loop::now() - _ended_at, _ended_at - _idle_since, p_bytes, p_was_read });
 	}
 }
 
@@ -140,7 +140,7 @@
 		const char *bytes = reinterpret_cast<const char *>(evbuffer_pullup(input, static_cast<ev_ssize_t>(size)));
 		if (!_reader.has_begun()) {
 			_request_since = event_loop::now();
-			_reader.set_most_header_bytes(_shared.limits.header_bytes);
+			_reader.set_max_header_bytes(_shared.limits.header_bytes);
 		}
 		const std::size_t taken = _reader.feed(std::string_view(bytes, size));
 		evbuffer_drain(input, taken);
@@ -253,7 +253,7 @@
 caller_connection::caller_connection(caller_connection_shared &p_shared, bufferevent *p_stream) :
 		_shared(p_shared), _stream(p_stream), _reader(http_reader::kind::REQUEST, http_reader::hooks{ [this](const http_head &p_head) { _on_head(p_head); }, [this](std::string_view p_bytes) { _on_body(p_bytes); } }, p_shared.limits.header_bytes), _idle_since(event_loop::now()), _promised_rest(p_shared.limits.idle_timeout) {
 	bufferevent_setcb(_stream, &caller_connection::_on_readable, &caller_connection::_on_drained, &caller_connection::_on_event, this);
-	bufferevent_setwatermark(_stream, EV_READ, 0, MOST_READ_AHEAD);
+	bufferevent_setwatermark(_stream, EV_READ, 0, MAX_READ_AHEAD);
 	evbuffer_add_cb(bufferevent_get_output(_stream), &caller_connection::_on_output, this);
 	bufferevent_enable(_stream, EV_READ | EV_WRITE);
 	const int on = 1;
@@ -308,7 +308,7 @@
 	_continue_end();
 }
 
-void caller_connection::end_unread(connection_end p_end) {
+void caller_connection::close_without_reading(connection_end p_end) {
 	_phase = phase::ENDED;
 	_note_end(p_end);
 	bufferevent_disable(_stream, EV_READ);
@@ -342,7 +342,7 @@
 	return _phase == phase::READING && _reader.has_begun() && p_now - _request_since > _get_reading_limit() && !_has_waiting_bytes();
 }
 
-std::int64_t caller_connection::promise_rest() {
+std::int64_t caller_connection::announce_idle_limit() {
 	_promised_rest = std::min(_shared.limits.idle_timeout, LONGEST_PROMISE);
 	return static_cast<std::int64_t>(to_seconds(_promised_rest) * REST_TOLD);
 }
@@ -350,7 +350,7 @@
 void caller_connection::sweep(instant p_now) {
 	if (_is_stalled(p_now)) {
 		if (_shared.on_slow_reader) {
-			_shared.on_slow_reader(slow_reader{ _get_untaken(), p_now - _taken_at, _shared.writes.get_held() });
+			_shared.on_slow_reader(slow_reader{ _get_untaken(), p_now - _taken_at, _shared.writes.get_buffered_bytes() });
 		}
 		_shared.ended[connection_end::STALLED]++;
 		reset();
@@ -360,8 +360,8 @@
 		if (_may_close(p_now)) {
 			close();
 		}
-	} else if (get_rest(p_now) > std::max(_promised_rest, _shared.limits.idle_timeout) && is_idle()) {
-		end_unread(connection_end::RESTED);
+	} else if (get_idle_time(p_now) > std::max(_promised_rest, _shared.limits.idle_timeout) && is_idle()) {
+		close_without_reading(connection_end::IDLE_TIMEOUT);
 	} else if (_is_too_slow(p_now)) {
 		_reject(http_status::REQUEST_TIMEOUT);
 	}
--- a/drivers/caller_connection.h
+++ b/drivers/caller_connection.h
@@ -51,7 +51,7 @@
 	caller_server_limits limits;
 	bool is_closing = false; ///< Answers from now on end their connections.
 	std::function<void(const std::shared_ptr<caller_exchange> &)> on_request;
-	std::function<void(const crossed_end &)> on_crossed; ///< May be empty.
+	std::function<void(const post_close_input &)> on_post_close_input; ///< May be empty.
 	std::function<void(const slow_reader &)> on_slow_reader; ///< A connection is ended as its caller takes nothing. May be empty.
 	write_budget writes; ///< Of all connections.
 	std::function<void(caller_connection &)> on_closed; ///< The connection must not be freed inside it.
@@ -65,7 +65,7 @@
  *
  *     READING -> ANSWERING -> READING ...            finish() without an end
  *                ANSWERING -> LINGERING -> closed    finish() with an end, or a refused request from READING
- *     READING -> ENDED -> closed                     end_unread(): nothing is owed, and nothing more is read
+ *     READING -> ENDED -> closed                     close_without_reading(): nothing is owed, and nothing more is read
  *
  * Any of them may be closed at once: by the caller, by close() and by reset().
  */
@@ -86,7 +86,7 @@
 	instant _idle_since;
 	duration _promised_rest; ///< The limit that was in force at the last answer, or when the connection was opened.
 	instant _request_since{};
-	connection_end _end = connection_end::RESTED; ///< Counts once this side ended the connection.
+	connection_end _end = connection_end::IDLE_TIMEOUT; ///< Counts once this side ended the connection.
 	instant _ended_at{};
 	instant _written_at{}; ///< When all was written, after the end.
 	std::size_t _handed_over = 0;
@@ -165,7 +165,7 @@
 	 * Ends a connection that owes no answer. A request that crosses the end is never read but reset, so that its caller knows
 	 * that it did not run: one that was read and then closed upon looks like one that was lost at work.
 	 */
-	void end_unread(connection_end p_end);
+	void close_without_reading(connection_end p_end);
 
 	/** The answer is out. @param p_end why the connection ends with it; reads the next request without one. */
 	void finish(std::optional<connection_end> p_end);
@@ -179,13 +179,13 @@
 	void sweep(instant p_now);
 
 	/** Promises the caller the idle limit in force, also if it is lowered later. @return seconds to tell. */
-	std::int64_t promise_rest();
+	std::int64_t announce_idle_limit();
 
 	/** Whether the connection owes no answer and no request waits to be read. */
 	bool is_idle() const;
 
 	/** How long the connection has been without a request. */
-	duration get_rest(instant p_now) const { return p_now - _idle_since; }
+	duration get_idle_time(instant p_now) const { return p_now - _idle_since; }
 
 	/** Whether answers from now on end their connections. */
 	bool is_closing() const { return _shared.is_closing; }
--- a/drivers/caller_connection_end.h
+++ b/drivers/caller_connection_end.h
@@ -18,7 +18,7 @@
 
 /** Why this side ended a connection of a caller. */
 enum class connection_end {
-	RESTED, ///< Without a request for longer than the limit.
+	IDLE_TIMEOUT, ///< Without a request for longer than the limit.
 	STOPPING, ///< Without a request while the server stops.
 	LAST_ANSWER, ///< Behind an answer that said so.
 	REJECTED, ///< Behind the refusal of what is malformed, too large or too slow.
@@ -30,8 +30,8 @@
 std::string_view get_name(connection_end p_end);
 
 /** Bytes of a caller that came when this side had ended the connection, and that nobody answers. */
-struct crossed_end {
-	connection_end end = connection_end::RESTED;
+struct post_close_input {
+	connection_end end = connection_end::IDLE_TIMEOUT;
 	duration since_end = duration::zero(); ///< From the end until this side noticed these bytes.
 	duration rested = duration::zero(); ///< Without a request, until the end.
 	std::size_t bytes = 0;
--- a/drivers/caller_exchange.cpp
+++ b/drivers/caller_exchange.cpp
@@ -37,7 +37,7 @@
 	if (is_last) {
 		head.keep_alive = false;
 		text += "Connection: close\r\n";
-	} else if (const std::int64_t seconds = _connection->promise_rest(); seconds > 0) {
+	} else if (const std::int64_t seconds = _connection->announce_idle_limit(); seconds > 0) {
 		// Callers of the protocol's first version keep a connection only when they are told so.
 		text += is_plain_old ? "Connection: keep-alive\r\n" : "";
 		text += "Keep-Alive: timeout=" + std::to_string(seconds) + "\r\n";
--- a/drivers/caller_exchange.h
+++ b/drivers/caller_exchange.h
@@ -47,7 +47,7 @@
 	std::size_t earlier = 0; ///< Requests that the connection carried before.
 
 	/** Calls the hook when the caller goes away before the answer is complete. */
-	void set_on_gone(std::function<void()> p_hook) { _on_gone = std::move(p_hook); }
+	void set_on_disconnect(std::function<void()> p_hook) { _on_gone = std::move(p_hook); }
 
 	/** Calls the hook with false when the caller takes less than is sent, and with true when it may get more. */
 	void set_on_flow(std::function<void(bool)> p_hook) { _on_flow = std::move(p_hook); }
--- a/drivers/caller_server.cpp
+++ b/drivers/caller_server.cpp
@@ -96,8 +96,8 @@
 	// From the end, as a connection that is closed at once leaves the list. An idle one carries no request, so nobody else is told.
 	for (std::size_t i = _connections.size(); i > 0; i--) {
 		caller_connection &entry = *_connections[i - 1];
-		if (entry.get_rest(now) >= p_rest && entry.is_idle()) {
-			entry.end_unread(connection_end::STOPPING);
+		if (entry.get_idle_time(now) >= p_rest && entry.is_idle()) {
+			entry.close_without_reading(connection_end::STOPPING);
 		}
 	}
 }
--- a/drivers/caller_server.h
+++ b/drivers/caller_server.h
@@ -58,7 +58,7 @@
 	void stop_listening();
 
 	/** Sets what is told of callers' bytes that crossed an end of this side. */
-	void set_on_crossed(std::function<void(const crossed_end &)> p_hook) { _shared.on_crossed = std::move(p_hook); }
+	void set_on_post_close_input(std::function<void(const post_close_input &)> p_hook) { _shared.on_post_close_input = std::move(p_hook); }
 
 	/** Sets what is told of callers that did not take their answers. */
 	void set_on_slow_reader(std::function<void(const slow_reader &)> p_hook) { _shared.on_slow_reader = std::move(p_hook); }
@@ -67,7 +67,7 @@
 	void set_write_budget(std::size_t p_bytes) { _shared.writes = write_budget(p_bytes); }
 
 	/** Bytes that wait to be written to callers. */
-	std::size_t get_held_bytes() const { return _shared.writes.get_held(); }
+	std::size_t get_buffered_bytes() const { return _shared.writes.get_buffered_bytes(); }
 
 	/** Connections that this side ended, by cause. */
 	const std::map<connection_end, std::size_t> &get_ended() const { return _shared.ended; }
--- a/drivers/endpoint_channels.h
+++ b/drivers/endpoint_channels.h
@@ -101,7 +101,7 @@
 	bool has_unread(exchange_id p_id) const;
 
 	/** Sets what is told the zone of an endpoint of which bytes or a new connection came. */
-	void set_on_heard(std::function<void(const std::string &)> p_hook) { _on_heard = std::move(p_hook); }
+	void set_on_contact(std::function<void(const std::string &)> p_hook) { _on_heard = std::move(p_hook); }
 
 	/** Closes what is kept to an endpoint that is gone. */
 	void drop_idle(const endpoint_identity &p_endpoint);
--- a/drivers/endpoint_probe.h
+++ b/drivers/endpoint_probe.h
@@ -10,7 +10,7 @@
 #define ENDPOINT_PROBE_H
 
 #include "drivers/event_loop.h"
-#include "servers/gateway/lost_runs.h"
+#include "servers/gateway/interrupted_runs.h"
 #include "servers/routing/endpoint_state.h"
 
 #include <cstdint>
--- a/drivers/event_loop.cpp
+++ b/drivers/event_loop.cpp
@@ -175,7 +175,7 @@
 	const clock_reading clocks = read_clocks_or_replaced();
 	_alarm.put_off(clocks.since_boot);
 	const duration late = _armed_for == instant{} ? duration::zero() : clocks.since_boot - _armed_for;
-	const hold_up stood_still = _hold_ups.note(clocks, late);
+	const process_stall stood_still = _hold_ups.note(clocks, late);
 	if (stood_still.late > duration::zero() && !_is_reading_first) {
 		_read_first(stood_still);
 	}
@@ -198,7 +198,7 @@
 	}
 }
 
-void event_loop::_read_first(const hold_up &p_hold_up) {
+void event_loop::_read_first(const process_stall &p_hold_up) {
 	_is_reading_first = true;
 	_held_up.emit(p_hold_up);
 	event_active(_read_event.get(), 0, 0);
--- a/drivers/event_loop.h
+++ b/drivers/event_loop.h
@@ -9,7 +9,7 @@
 #ifndef EVENT_LOOP_H
 #define EVENT_LOOP_H
 
-#include "core/hold_up.h"
+#include "core/process_stall.h"
 #include "core/time.h"
 #include "core/timer_queue.h"
 #include "core/work_meter.h"
@@ -62,9 +62,9 @@
 	std::uint64_t _next_timer = 1;
 	instant _armed_for{}; ///< When the event of the timers is to come; zero for never.
 	bool _is_reading_first = false; ///< The process stood still, and what came meanwhile is read now.
-	hold_up_watch _hold_ups;
+	stall_detector _hold_ups;
 	work_meter _meter;
-	sigc::signal<void(const hold_up &)> _held_up;
+	sigc::signal<void(const process_stall &)> _held_up;
 	std::vector<std::unique_ptr<event, event_deleter>> _signal_events;
 	std::vector<std::function<void()>> _posted;
 	sigc::signal<void(int)> _signal_received;
@@ -79,7 +79,7 @@
 	void _arm();
 	void _run_timers();
 	void _run_due(instant p_now);
-	void _read_first(const hold_up &p_hold_up);
+	void _read_first(const process_stall &p_hold_up);
 
 public:
 	event_loop();
@@ -106,10 +106,10 @@
 	sigc::signal<void(int)> &signal_received() { return _signal_received; }
 
 	/** Looks at the time, and runs what is due. Done by itself at waking, before any socket is read or written. */
-	void look_at_time() { _run_timers(); }
+	void run_due_timers() { _run_timers(); }
 
 	/** Emitted when the process stood still, before anything is judged by the time that has passed. */
-	sigc::signal<void(const hold_up &)> &held_up() { return _held_up; }
+	sigc::signal<void(const process_stall &)> &stalled() { return _held_up; }
 
 	/** Time since boot now; never steps. */
 	static instant now();
--- a/drivers/http_reader.h
+++ b/drivers/http_reader.h
@@ -121,7 +121,7 @@
 	/** The answer to a HEAD has no body whatever its headers say. */
 	void set_without_body(bool p_without) { _without_body = p_without; }
 
-	void set_most_header_bytes(std::size_t p_bytes) { _most_header_bytes = p_bytes; }
+	void set_max_header_bytes(std::size_t p_bytes) { _most_header_bytes = p_bytes; }
 
 	state get_state() const { return _state; }
 	const http_head &get_head() const { return _head; }
--- a/drivers/http_server.cpp
+++ b/drivers/http_server.cpp
@@ -29,7 +29,7 @@
 namespace {
 
 /** A caller may send this much ahead of its answer before it is made to wait. */
-constexpr std::size_t MOST_READ_AHEAD = 256 * 1024;
+constexpr std::size_t MAX_READ_AHEAD = 256 * 1024;
 constexpr int STATUS_INTERNAL_ERROR = 500;
 
 /**
@@ -44,7 +44,7 @@
 	void *argument = nullptr;
 	bufferevent_getcb(stream, &read_hook, &write_hook, &event_hook, &argument);
 	bufferevent_setcb(stream, nullptr, write_hook, event_hook, argument);
-	bufferevent_setwatermark(stream, EV_READ, 0, MOST_READ_AHEAD);
+	bufferevent_setwatermark(stream, EV_READ, 0, MAX_READ_AHEAD);
 	bufferevent_enable(stream, EV_READ);
 }
 
@@ -85,7 +85,7 @@
 	}
 }
 
-void http_exchange::let_go() {
+void http_exchange::detach() {
 	_forget_connection();
 	_gone = true;
 	_answered = true;
@@ -247,7 +247,7 @@
 http_server::~http_server() {
 	const std::set<http_exchange *> open = *_open;
 	for (http_exchange *exchange : open) {
-		exchange->let_go();
+		exchange->detach();
 	}
 }
 
--- a/drivers/http_server.h
+++ b/drivers/http_server.h
@@ -67,7 +67,7 @@
 	std::string take_body();
 
 	/** Calls the hook when the caller goes away before the answer is complete. */
-	void set_on_gone(std::function<void()> p_hook) { _on_gone = std::move(p_hook); }
+	void set_on_disconnect(std::function<void()> p_hook) { _on_gone = std::move(p_hook); }
 
 	/** Answers at once. */
 	void reply(int p_status, const std::string &p_content_type, const std::string &p_body, const std::vector<http_header> &p_headers = {});
@@ -82,7 +82,7 @@
 	void break_stream();
 
 	/** The server is about to be destroyed, and the request with it: nothing can be sent any more. */
-	void let_go();
+	void detach();
 
 	bool is_gone() const { return _gone; }
 	bool is_streaming() const { return _streaming; }
--- a/drivers/link_codec.cpp
+++ b/drivers/link_codec.cpp
@@ -186,11 +186,11 @@
 		return { wire::message_heartbeat, wire::Createheartbeat(target, p_message.at.wall, p_message.at.counter, digest_vector, mark_vector, commitment_vector, capacity_vector, gone, next_in, p_message.follows, p_message.wants_link, p_message.relies_on_you, p_message.is_total, p_message.zone_nodes, p_message.fleet_nodes, dispatchers, unreached_zones, gone_incarnations, p_message.evacuations.known.era, p_message.evacuations.known.offset, evacuated_zones, write_rollouts(target, p_message.rollouts)).Union() };
 	}
 
-	encoded_body operator()(const ask_configuration_message &p_message) const {
+	encoded_body operator()(const request_configuration_message &p_message) const {
 		return { wire::message_ask_configuration, wire::Createask_configuration(target, p_message.have).Union() };
 	}
 
-	encoded_body operator()(const ask_endpoints_message &) const {
+	encoded_body operator()(const request_endpoints_message &) const {
 		return { wire::message_ask_endpoints, wire::Createask_endpoints(target).Union() };
 	}
 
@@ -218,7 +218,7 @@
 		return { wire::message_pass_answer, wire::Createpass_answer(target, p_message.id, p_message.status, body).Union() };
 	}
 
-	encoded_body operator()(const hand_work_message &p_message) const {
+	encoded_body operator()(const assign_work_message &p_message) const {
 		const text_offset pool = target.CreateString(p_message.pool);
 		const text_offset attempt = target.CreateString(p_message.attempt);
 		const text_offset key = target.CreateString(p_message.caller_key);
@@ -235,13 +235,13 @@
 		return { wire::message_work_ended, wire::Creatework_ended(target, p_message.id, p_message.end, handles, target.CreateVector(p_message.incarnations)).Union() };
 	}
 
-	encoded_body operator()(const tell_endpoints_message &p_message) const {
+	encoded_body operator()(const report_endpoints_message &p_message) const {
 		const auto endpoints = write_listings(target, p_message.endpoints);
 		return { wire::message_tell_endpoints, wire::Createtell_endpoints(target, endpoints, p_message.known.offset, true, p_message.known.era).Union() };
 	}
 
-	encoded_body operator()(const tell_reading_message &p_message) const {
-		const endpoint_reading &reading = p_message.reading;
+	encoded_body operator()(const report_delta_message &p_message) const {
+		const endpoint_delta &reading = p_message.reading;
 		const auto written = write_listings(target, reading.written);
 		const auto dropped = target.CreateVectorOfStrings(reading.dropped);
 		return { wire::message_tell_reading, wire::Createtell_reading(target, reading.from, reading.to, written, dropped, reading.listed, reading.listed_starts, reading.era, reading.is_whole).Union() };
@@ -258,27 +258,27 @@
 		return { wire::message_release_results, wire::Createrelease_results(target, pool, handles).Union() };
 	}
 
-	encoded_body operator()(const tell_results_message &p_message) const {
+	encoded_body operator()(const report_results_message &p_message) const {
 		const text_offset pool = target.CreateString(p_message.pool);
 		const auto handles = target.CreateVectorOfStrings(p_message.handles);
 		const auto sizes = target.CreateVector(p_message.result_bytes);
 		return { wire::message_tell_results, wire::Createtell_results(target, pool, handles, sizes, target.CreateVector(p_message.incarnations)).Union() };
 	}
 
-	encoded_body operator()(const tell_crashes_message &p_message) const {
+	encoded_body operator()(const report_crashes_message &p_message) const {
 		std::vector<wire::crash_entry> entries;
 		entries.reserve(p_message.news.size());
-		for (const told_crash &told : p_message.news) {
+		for (const reported_crash &told : p_message.news) {
 			const std::int64_t age_ms = std::clamp<std::int64_t>(told.age.count() / 1000, 0, LONGEST_MS);
 			entries.emplace_back(told.run.place, told.run.content.high, told.run.content.low, told.subject, static_cast<std::uint32_t>(age_ms), static_cast<std::uint8_t>(told.news));
 		}
 		return { wire::message_tell_crashes, wire::Createtell_crashes(target, target.CreateVectorOfStructs(entries), p_message.is_whole).Union() };
 	}
 
-	encoded_body operator()(const tell_limits_message &p_message) const {
+	encoded_body operator()(const report_limits_message &p_message) const {
 		std::vector<flatbuffers::Offset<wire::limit_entry>> entries;
 		entries.reserve(p_message.limits.size());
-		for (const told_limit &told : p_message.limits) {
+		for (const reported_limit &told : p_message.limits) {
 			const std::int64_t age_ms = std::clamp<std::int64_t>(told.age.count() / 1000, 0, LONGEST_MS);
 			const text_offset name = target.CreateString(told.endpoint.vm);
 			entries.push_back(wire::Createlimit_entry(target, name, told.endpoint.incarnation, told.rate.value_or(0.0), !told.rate.has_value(), static_cast<std::uint32_t>(age_ms)));
@@ -286,13 +286,13 @@
 		return { wire::message_tell_limits, wire::Createtell_limits(target, target.CreateVector(entries)).Union() };
 	}
 
-	encoded_body operator()(const tell_prompts_message &p_message) const {
+	encoded_body operator()(const report_prompts_message &p_message) const {
 		std::vector<endpoint_identity> engines;
 		std::map<endpoint_identity, std::uint16_t> indices;
 		std::vector<wire::prompt_entry> prompts;
 		std::vector<std::uint64_t> chains;
 		std::vector<std::uint32_t> tokens;
-		for (const told_prompt &told : p_message.prompts) {
+		for (const prompt_record &told : p_message.prompts) {
 			const auto [index, is_new] = indices.try_emplace(told.engine, static_cast<std::uint16_t>(engines.size()));
 			if (is_new) {
 				engines.push_back(told.engine);
@@ -399,14 +399,14 @@
 	return message;
 }
 
-tell_endpoints_message read_endpoints(const wire::tell_endpoints &p_message) {
+report_endpoints_message read_endpoints(const wire::tell_endpoints &p_message) {
 	// Only changes are read from the offset on, so the starts would stay unknown; without it the receiver reads them.
 	const std::uint64_t offset = p_message.knows_starts() ? p_message.offset() : 0;
-	return tell_endpoints_message{ read_listings(p_message.endpoints()), log_position{ p_message.era(), offset } };
+	return report_endpoints_message{ read_listings(p_message.endpoints()), log_position{ p_message.era(), offset } };
 }
 
-endpoint_reading read_reading(const wire::tell_reading &p_message) {
-	endpoint_reading reading;
+endpoint_delta read_reading(const wire::tell_reading &p_message) {
+	endpoint_delta reading;
 	reading.from = p_message.from();
 	reading.to = p_message.to();
 	reading.written = read_listings(p_message.written());
@@ -419,8 +419,8 @@
 }
 
 /** Empty when an index or a count does not fit the rest. */
-std::optional<tell_prompts_message> read_prompts(const wire::tell_prompts &p_message) {
-	tell_prompts_message message;
+std::optional<report_prompts_message> read_prompts(const wire::tell_prompts &p_message) {
+	report_prompts_message message;
 	if (p_message.prompts() == nullptr) {
 		return message;
 	}
@@ -434,7 +434,7 @@
 		if (entry->engine() >= engines.size() || next + entry->links() > links) {
 			return std::nullopt;
 		}
-		told_prompt told{ entry->origin(), engines[entry->engine()], {} };
+		prompt_record told{ entry->origin(), engines[entry->engine()], {} };
 		for (const std::size_t end = next + entry->links(); next < end; next++) {
 			const flatbuffers::uoffset_t index = static_cast<flatbuffers::uoffset_t>(next);
 			told.prompt.push_back(prompt_link{ p_message.chains()->Get(index), p_message.tokens()->Get(index) });
@@ -445,26 +445,26 @@
 }
 
 /** Empty when an entry tells a kind of news that is none. */
-std::optional<tell_crashes_message> read_crashes(const wire::tell_crashes &p_message) {
-	tell_crashes_message message;
+std::optional<report_crashes_message> read_crashes(const wire::tell_crashes &p_message) {
+	report_crashes_message message;
 	message.is_whole = p_message.is_whole();
 	if (p_message.entries() == nullptr) {
 		return message;
 	}
 	message.news.reserve(p_message.entries()->size());
 	for (const wire::crash_entry *entry : *p_message.entries()) {
-		if (entry->news() >= static_cast<std::uint8_t>(crash_news::COUNT)) {
+		if (entry->news() >= static_cast<std::uint8_t>(crash_event::COUNT)) {
 			return std::nullopt;
 		}
 		const request_fingerprint run{ entry->place(), half_digest{ entry->content_high(), entry->content_low() } };
-		message.news.push_back(told_crash{ static_cast<crash_news>(entry->news()), run, entry->subject(), read_ms(entry->age_ms()) });
+		message.news.push_back(reported_crash{ static_cast<crash_event>(entry->news()), run, entry->subject(), read_ms(entry->age_ms()) });
 	}
 	return message;
 }
 
 /** Empty when an entry tells a rate that is none. */
-std::optional<tell_limits_message> read_limits(const wire::tell_limits &p_message) {
-	tell_limits_message message;
+std::optional<report_limits_message> read_limits(const wire::tell_limits &p_message) {
+	report_limits_message message;
 	if (p_message.entries() == nullptr) {
 		return message;
 	}
@@ -474,13 +474,13 @@
 		if (!std::isfinite(rate) || rate < 0.0) {
 			return std::nullopt;
 		}
-		message.limits.push_back(told_limit{ endpoint_identity{ read(entry->name()), entry->incarnation() }, entry->is_over() ? std::nullopt : std::optional(rate), read_ms(entry->age_ms()) });
+		message.limits.push_back(reported_limit{ endpoint_identity{ read(entry->name()), entry->incarnation() }, entry->is_over() ? std::nullopt : std::optional(rate), read_ms(entry->age_ms()) });
 	}
 	return message;
 }
 
-hand_work_message read_hand_work(const wire::hand_work &p_message) {
-	hand_work_message message;
+assign_work_message read_hand_work(const wire::hand_work &p_message) {
+	assign_work_message message;
 	message.id = p_message.id();
 	message.pool = read(p_message.pool());
 	message.attempt = read(p_message.attempt());
@@ -533,11 +533,11 @@
 		case wire::message_heartbeat:
 			return read_heartbeat(*frame->body_as_heartbeat());
 		case wire::message_ask_endpoints:
-			return ask_endpoints_message{};
+			return request_endpoints_message{};
 		case wire::message_decline_endpoints:
 			return decline_endpoints_message{};
 		case wire::message_ask_configuration:
-			return ask_configuration_message{ frame->body_as_ask_configuration()->have() };
+			return request_configuration_message{ frame->body_as_ask_configuration()->have() };
 		case wire::message_tell_configuration:
 			return read_snapshot(*frame->body_as_tell_configuration());
 		case wire::message_pass_request:
@@ -559,22 +559,22 @@
 		case wire::message_tell_endpoints:
 			return read_endpoints(*frame->body_as_tell_endpoints());
 		case wire::message_tell_reading:
-			return tell_reading_message{ read_reading(*frame->body_as_tell_reading()) };
+			return report_delta_message{ read_reading(*frame->body_as_tell_reading()) };
 		case wire::message_tell_crashes: {
-			std::optional<tell_crashes_message> told = read_crashes(*frame->body_as_tell_crashes());
+			std::optional<report_crashes_message> told = read_crashes(*frame->body_as_tell_crashes());
 			return told ? std::optional<link_message>(std::move(*told)) : std::nullopt;
 		}
 		case wire::message_tell_limits: {
-			std::optional<tell_limits_message> told = read_limits(*frame->body_as_tell_limits());
+			std::optional<report_limits_message> told = read_limits(*frame->body_as_tell_limits());
 			return told ? std::optional<link_message>(std::move(*told)) : std::nullopt;
 		}
 		case wire::message_tell_prompts: {
-			std::optional<tell_prompts_message> told = read_prompts(*frame->body_as_tell_prompts());
+			std::optional<report_prompts_message> told = read_prompts(*frame->body_as_tell_prompts());
 			return told ? std::optional<link_message>(std::move(*told)) : std::nullopt;
 		}
 		case wire::message_tell_results: {
 			const wire::tell_results *told = frame->body_as_tell_results();
-			const tell_results_message message{ read(told->pool()), read_texts(told->handles()), read_numbers(told->result_bytes()), read_numbers(told->incarnations()) };
+			const report_results_message message{ read(told->pool()), read_texts(told->handles()), read_numbers(told->result_bytes()), read_numbers(told->incarnations()) };
 			// A handle without its size, or the reverse, is no message of ours.
 			if (message.handles.size() != message.result_bytes.size()) {
 				return std::nullopt;
--- a/drivers/link_codec.h
+++ b/drivers/link_codec.h
@@ -21,7 +21,7 @@
 /** Messages that peers of an earlier version take for malformed; they are sent only to those that name them. */
 enum class link_feature : std::uint32_t {
 	CRASHES = 1U << 0U,
-	ASKED_LISTS = 1U << 1U, ///< Asks for the endpoints when it knows none, and answers a peer that does.
+	REQUESTED_LISTS = 1U << 1U, ///< Asks for the endpoints when it knows none, and answers a peer that does.
 	LIMITS = 1U << 2U,
 };
 
@@ -39,17 +39,17 @@
 };
 
 /** Asks for the configuration if the receiver has a higher version. */
-struct ask_configuration_message {
+struct request_configuration_message {
 	std::uint64_t have = 0;
 };
 
 /** The sender knows no endpoints and asks for all of them. */
-struct ask_endpoints_message {};
+struct request_endpoints_message {};
 
 /** The sender does not tell the endpoints just now, so that the receiver asks another node. */
 struct decline_endpoints_message {};
 
-using link_message = std::variant<hello_message, proof_message, heartbeat_message, ask_configuration_message, configuration_snapshot, pass_request_message, pass_answer_message, hand_work_message, work_ended_message, cancel_work_message, release_results_message, tell_prompts_message, tell_endpoints_message, tell_results_message, tell_reading_message, tell_crashes_message, ask_endpoints_message, decline_endpoints_message, tell_limits_message>;
+using link_message = std::variant<hello_message, proof_message, heartbeat_message, request_configuration_message, configuration_snapshot, pass_request_message, pass_answer_message, assign_work_message, work_ended_message, cancel_work_message, release_results_message, report_prompts_message, report_endpoints_message, report_results_message, report_delta_message, report_crashes_message, request_endpoints_message, decline_endpoints_message, report_limits_message>;
 
 /** Writes a message as the bytes of one frame, its length not included. */
 std::string encode(const link_message &p_message);
--- a/drivers/node_link.cpp
+++ b/drivers/node_link.cpp
@@ -58,13 +58,13 @@
 	if (std::holds_alternative<heartbeat_message>(p_message)) {
 		return activity::HEARTBEATS_RECEIVED;
 	}
-	if (std::holds_alternative<hand_work_message>(p_message) || std::holds_alternative<work_ended_message>(p_message) || std::holds_alternative<cancel_work_message>(p_message)) {
+	if (std::holds_alternative<assign_work_message>(p_message) || std::holds_alternative<work_ended_message>(p_message) || std::holds_alternative<cancel_work_message>(p_message)) {
 		return activity::WORK_MESSAGES;
 	}
-	if (std::holds_alternative<release_results_message>(p_message) || std::holds_alternative<tell_results_message>(p_message)) {
+	if (std::holds_alternative<release_results_message>(p_message) || std::holds_alternative<report_results_message>(p_message)) {
 		return activity::RESULT_MESSAGES;
 	}
-	return std::holds_alternative<tell_prompts_message>(p_message) ? activity::PROMPT_MESSAGES : activity::OTHER_MESSAGES;
+	return std::holds_alternative<report_prompts_message>(p_message) ? activity::PROMPT_MESSAGES : activity::OTHER_MESSAGES;
 }
 
 } // namespace
@@ -180,9 +180,9 @@
 		const activity_scope scope(_owner._loop, get_activity(p_message));
 		if (const auto *heartbeat = std::get_if<heartbeat_message>(&p_message)) {
 			_owner._heartbeat_received.emit(_vm, *heartbeat);
-		} else if (const auto *ask = std::get_if<ask_configuration_message>(&p_message)) {
+		} else if (const auto *ask = std::get_if<request_configuration_message>(&p_message)) {
 			_owner._configuration_asked.emit(_vm, ask->have);
-		} else if (std::holds_alternative<ask_endpoints_message>(p_message)) {
+		} else if (std::holds_alternative<request_endpoints_message>(p_message)) {
 			_owner._endpoints_asked.emit(_vm);
 		} else if (std::holds_alternative<decline_endpoints_message>(p_message)) {
 			_owner._endpoints_declined.emit(_vm);
@@ -192,25 +192,25 @@
 			_owner._request_passed.emit(_vm, *request);
 		} else if (const auto *answer = std::get_if<pass_answer_message>(&p_message)) {
 			_owner._answer_passed.emit(_vm, *answer);
-		} else if (const auto *work = std::get_if<hand_work_message>(&p_message)) {
+		} else if (const auto *work = std::get_if<assign_work_message>(&p_message)) {
 			_owner._work_handed.emit(_vm, *work);
 		} else if (const auto *ended = std::get_if<work_ended_message>(&p_message)) {
 			_owner._work_ended.emit(_vm, *ended);
 		} else if (const auto *cancelled = std::get_if<cancel_work_message>(&p_message)) {
 			_owner._work_cancelled.emit(_vm, *cancelled);
-		} else if (const auto *results = std::get_if<tell_results_message>(&p_message)) {
+		} else if (const auto *results = std::get_if<report_results_message>(&p_message)) {
 			_owner._results_told.emit(_vm, *results);
 		} else if (const auto *released = std::get_if<release_results_message>(&p_message)) {
 			_owner._results_released.emit(_vm, *released);
-		} else if (const auto *prompts = std::get_if<tell_prompts_message>(&p_message)) {
+		} else if (const auto *prompts = std::get_if<report_prompts_message>(&p_message)) {
 			_owner._prompts_told.emit(_vm, *prompts);
-		} else if (const auto *endpoints = std::get_if<tell_endpoints_message>(&p_message)) {
+		} else if (const auto *endpoints = std::get_if<report_endpoints_message>(&p_message)) {
 			_owner._endpoints_told.emit(_vm, *endpoints);
-		} else if (const auto *reading = std::get_if<tell_reading_message>(&p_message)) {
+		} else if (const auto *reading = std::get_if<report_delta_message>(&p_message)) {
 			_owner._reading_told.emit(_vm, *reading);
-		} else if (const auto *crashes = std::get_if<tell_crashes_message>(&p_message)) {
+		} else if (const auto *crashes = std::get_if<report_crashes_message>(&p_message)) {
 			_owner._crashes_told.emit(_vm, *crashes);
-		} else if (const auto *limits = std::get_if<tell_limits_message>(&p_message)) {
+		} else if (const auto *limits = std::get_if<report_limits_message>(&p_message)) {
 			_owner._limits_told.emit(_vm, *limits);
 		}
 	}
@@ -417,7 +417,7 @@
 
 void node_link::ask_configuration(const std::string &p_vm, std::uint64_t p_have) {
 	if (link *target = _find(p_vm)) {
-		target->send(ask_configuration_message{ p_have });
+		target->send(request_configuration_message{ p_have });
 	}
 }
 
@@ -428,17 +428,17 @@
 }
 
 std::uint32_t node_link::_get_features() const {
-	const std::uint32_t lists = _identity.asks_lists ? static_cast<std::uint32_t>(link_feature::ASKED_LISTS) : 0;
+	const std::uint32_t lists = _identity.asks_lists ? static_cast<std::uint32_t>(link_feature::REQUESTED_LISTS) : 0;
 	return static_cast<std::uint32_t>(link_feature::CRASHES) | static_cast<std::uint32_t>(link_feature::LIMITS) | lists;
 }
 
 bool node_link::asks_lists(const std::string &p_vm) const {
 	const link *target = _find(p_vm);
-	return target != nullptr && target->knows(link_feature::ASKED_LISTS);
+	return target != nullptr && target->knows(link_feature::REQUESTED_LISTS);
 }
 
 bool node_link::ask_endpoints(const std::string &p_vm) {
-	return _send_if_linked(p_vm, [](link &r_link) { return r_link.knows(link_feature::ASKED_LISTS) && r_link.send(ask_endpoints_message{}); });
+	return _send_if_linked(p_vm, [](link &r_link) { return r_link.knows(link_feature::REQUESTED_LISTS) && r_link.send(request_endpoints_message{}); });
 }
 
 void node_link::decline_endpoints(const std::string &p_vm) {
@@ -458,7 +458,7 @@
 	return _send_if_linked(p_vm, [&p_message](link &r_link) { return r_link.send(p_message); });
 }
 
-bool node_link::send(const std::string &p_vm, const hand_work_message &p_message) {
+bool node_link::send(const std::string &p_vm, const assign_work_message &p_message) {
 	return _send_if_linked(p_vm, [&p_message](link &r_link) { return r_link.send(p_message); });
 }
 
@@ -474,27 +474,27 @@
 	return _send_if_linked(p_vm, [&p_message](link &r_link) { return r_link.send(p_message); });
 }
 
-bool node_link::send(const std::string &p_vm, const tell_results_message &p_message) {
+bool node_link::send(const std::string &p_vm, const report_results_message &p_message) {
 	return _send_if_linked(p_vm, [&p_message](link &r_link) { return r_link.send(p_message); });
 }
 
-bool node_link::send(const std::string &p_vm, const tell_prompts_message &p_message) {
+bool node_link::send(const std::string &p_vm, const report_prompts_message &p_message) {
 	return _send_if_linked(p_vm, [&p_message](link &r_link) { return r_link.send(p_message); });
 }
 
-bool node_link::send(const std::string &p_vm, const tell_endpoints_message &p_message) {
+bool node_link::send(const std::string &p_vm, const report_endpoints_message &p_message) {
 	return _send_if_linked(p_vm, [&p_message](link &r_link) { return r_link.send(p_message); });
 }
 
-bool node_link::send(const std::string &p_vm, const tell_reading_message &p_message) {
+bool node_link::send(const std::string &p_vm, const report_delta_message &p_message) {
 	return _send_if_linked(p_vm, [&p_message](link &r_link) { return r_link.send(p_message); });
 }
 
-bool node_link::send(const std::string &p_vm, const tell_limits_message &p_message) {
+bool node_link::send(const std::string &p_vm, const report_limits_message &p_message) {
 	return _send_if_linked(p_vm, [&p_message](link &r_link) { return r_link.knows(link_feature::LIMITS) && r_link.send(p_message); });
 }
 
-bool node_link::send(const std::string &p_vm, const tell_crashes_message &p_message) {
+bool node_link::send(const std::string &p_vm, const report_crashes_message &p_message) {
 	return _send_if_linked(p_vm, [&p_message](link &r_link) { return r_link.knows(link_feature::CRASHES) && r_link.send(p_message); });
 }
 
--- a/drivers/node_link.h
+++ b/drivers/node_link.h
@@ -16,7 +16,7 @@
 #include "servers/gateway/crash_memory.h"
 #include "servers/gateway/endpoint_directory.h"
 #include "servers/gateway/evacuation_table.h"
-#include "servers/gateway/told_prompt.h"
+#include "servers/gateway/prompt_record.h"
 #include "servers/membership/member_table.h"
 #include "servers/rollout/rollout.h"
 
@@ -60,7 +60,7 @@
 	std::vector<std::string> dispatchers; ///< Nodes that may dispatch pools; told by hubs.
 	std::vector<std::string> unreached_zones; ///< Zones that are cut off from the sender; told by hubs.
 	evacuation_state evacuations; ///< As the sender knows them; position zero from a version that does not.
-	std::vector<told_rollout> rollouts; ///< All that the sender knows.
+	std::vector<rollout_update> rollouts; ///< All that the sender knows.
 };
 
 /** A submission under a key that the receiver owns. */
@@ -81,7 +81,7 @@
 };
 
 /** Work for a stage pool that the receiver dispatches. Times are what is left when it is sent. */
-struct hand_work_message {
+struct assign_work_message {
 	std::uint64_t id = 0; ///< The sender's.
 	std::string pool;
 	std::string attempt;
@@ -121,7 +121,7 @@
 };
 
 /** Results a node holds, for the node that dispatches their pool now. */
-struct tell_results_message {
+struct report_results_message {
 	std::string pool;
 	std::vector<std::string> handles;
 	std::vector<std::uint64_t> result_bytes; ///< Of each handle.
@@ -129,45 +129,45 @@
 };
 
 /** Prompts that nodes sent to engines. */
-struct tell_prompts_message {
-	std::vector<told_prompt> prompts;
+struct report_prompts_message {
+	std::vector<prompt_record> prompts;
 };
 
 /** All endpoints the sender knows, for a node that cannot read them. */
-struct tell_endpoints_message {
+struct report_endpoints_message {
 	std::vector<endpoint_listing> endpoints;
 	log_position known; ///< Up to which the topic was read; offset zero when the sender has not read it, or knows no starts.
 };
 
 /** What one read of the endpoints' topic brought, for nodes that do not read it themselves. */
-struct tell_reading_message {
-	endpoint_reading reading;
+struct report_delta_message {
+	endpoint_delta reading;
 };
 
 /** News of a request that was at work at endpoints that ended. */
-struct told_crash {
-	crash_news news = crash_news::ENDED_ENDPOINT;
+struct reported_crash {
+	crash_event news = crash_event::CRASHED_ENDPOINT;
 	request_fingerprint run;
 	std::uint64_t subject = 0; ///< See crash_record.
 	duration age = duration::zero(); ///< How long ago it happened when it is sent.
 };
 
 /** What the sender knows of requests that were at work at endpoints that ended. */
-struct tell_crashes_message {
-	std::vector<told_crash> news;
+struct report_crashes_message {
+	std::vector<reported_crash> news;
 	bool is_whole = false; ///< All that the sender knows.
 };
 
 /** What an answer said of its endpoint's limit. */
-struct told_limit {
+struct reported_limit {
 	endpoint_identity endpoint;
 	std::optional<double> rate; ///< Requests a second; empty when the limit is over.
 	duration age = duration::zero(); ///< Of the answer when the message is sent.
 };
 
 /** What the sender knows of limits that endpoints named. */
-struct tell_limits_message {
-	std::vector<told_limit> limits;
+struct report_limits_message {
+	std::vector<reported_limit> limits;
 };
 
 /** Who a link is made as, and the secret of the fleet. */
@@ -210,16 +210,16 @@
 	sigc::signal<void(const std::string &, const pass_request_message &)> _request_passed;
 	sigc::signal<void(const std::string &, const pass_answer_message &)> _answer_passed;
 
-	sigc::signal<void(const std::string &, const hand_work_message &)> _work_handed;
+	sigc::signal<void(const std::string &, const assign_work_message &)> _work_handed;
 	sigc::signal<void(const std::string &, const work_ended_message &)> _work_ended;
 	sigc::signal<void(const std::string &, const cancel_work_message &)> _work_cancelled;
 	sigc::signal<void(const std::string &, const release_results_message &)> _results_released;
-	sigc::signal<void(const std::string &, const tell_results_message &)> _results_told;
-	sigc::signal<void(const std::string &, const tell_prompts_message &)> _prompts_told;
-	sigc::signal<void(const std::string &, const tell_endpoints_message &)> _endpoints_told;
-	sigc::signal<void(const std::string &, const tell_reading_message &)> _reading_told;
-	sigc::signal<void(const std::string &, const tell_crashes_message &)> _crashes_told;
-	sigc::signal<void(const std::string &, const tell_limits_message &)> _limits_told;
+	sigc::signal<void(const std::string &, const report_results_message &)> _results_told;
+	sigc::signal<void(const std::string &, const report_prompts_message &)> _prompts_told;
+	sigc::signal<void(const std::string &, const report_endpoints_message &)> _endpoints_told;
+	sigc::signal<void(const std::string &, const report_delta_message &)> _reading_told;
+	sigc::signal<void(const std::string &, const report_crashes_message &)> _crashes_told;
+	sigc::signal<void(const std::string &, const report_limits_message &)> _limits_told;
 
 	static void _on_accept(evconnlistener *p_listener, int p_socket, sockaddr *p_from, int p_size, void *p_self);
 	void _adopt(bufferevent *p_stream, const std::string &p_expected_vm, const std::string &p_dial_key);
@@ -267,17 +267,17 @@
 	bool send(const std::string &p_vm, const pass_request_message &p_message);
 	bool send(const std::string &p_vm, const pass_answer_message &p_message);
 
-	bool send(const std::string &p_vm, const hand_work_message &p_message);
+	bool send(const std::string &p_vm, const assign_work_message &p_message);
 	bool send(const std::string &p_vm, const work_ended_message &p_message);
 	bool send(const std::string &p_vm, const cancel_work_message &p_message);
 	bool send(const std::string &p_vm, const release_results_message &p_message);
-	bool send(const std::string &p_vm, const tell_results_message &p_message);
-	bool send(const std::string &p_vm, const tell_prompts_message &p_message);
-	bool send(const std::string &p_vm, const tell_endpoints_message &p_message);
-	bool send(const std::string &p_vm, const tell_reading_message &p_message);
+	bool send(const std::string &p_vm, const report_results_message &p_message);
+	bool send(const std::string &p_vm, const report_prompts_message &p_message);
+	bool send(const std::string &p_vm, const report_endpoints_message &p_message);
+	bool send(const std::string &p_vm, const report_delta_message &p_message);
 	/** Not sent to a peer of a version that does not know it. */
-	bool send(const std::string &p_vm, const tell_crashes_message &p_message);
-	bool send(const std::string &p_vm, const tell_limits_message &p_message);
+	bool send(const std::string &p_vm, const report_crashes_message &p_message);
+	bool send(const std::string &p_vm, const report_limits_message &p_message);
 
 	/** Closes the links of a VM that has fallen silent; they are dialled anew. */
 	void drop(const std::string &p_vm);
@@ -285,23 +285,23 @@
 	sigc::signal<void(const std::string &)> &link_up() { return _link_up; }
 	sigc::signal<void(const std::string &)> &link_down() { return _link_down; }
 	sigc::signal<void(const std::string &, const heartbeat_message &)> &heartbeat_received() { return _heartbeat_received; }
-	sigc::signal<void(const std::string &)> &endpoints_asked() { return _endpoints_asked; }
+	sigc::signal<void(const std::string &)> &endpoints_requested() { return _endpoints_asked; }
 	sigc::signal<void(const std::string &)> &endpoints_declined() { return _endpoints_declined; }
-	sigc::signal<void(const std::string &, std::uint64_t)> &configuration_asked() { return _configuration_asked; }
-	sigc::signal<void(const std::string &, const configuration_snapshot &)> &configuration_told() { return _configuration_told; }
+	sigc::signal<void(const std::string &, std::uint64_t)> &configuration_requested() { return _configuration_asked; }
+	sigc::signal<void(const std::string &, const configuration_snapshot &)> &configuration_reported() { return _configuration_told; }
 	sigc::signal<void(const std::string &, const pass_request_message &)> &request_passed() { return _request_passed; }
 	sigc::signal<void(const std::string &, const pass_answer_message &)> &answer_passed() { return _answer_passed; }
 
-	sigc::signal<void(const std::string &, const hand_work_message &)> &work_handed() { return _work_handed; }
+	sigc::signal<void(const std::string &, const assign_work_message &)> &work_handed() { return _work_handed; }
 	sigc::signal<void(const std::string &, const work_ended_message &)> &work_ended() { return _work_ended; }
 	sigc::signal<void(const std::string &, const cancel_work_message &)> &work_cancelled() { return _work_cancelled; }
 	sigc::signal<void(const std::string &, const release_results_message &)> &results_released() { return _results_released; }
-	sigc::signal<void(const std::string &, const tell_results_message &)> &results_told() { return _results_told; }
-	sigc::signal<void(const std::string &, const tell_prompts_message &)> &prompts_told() { return _prompts_told; }
-	sigc::signal<void(const std::string &, const tell_endpoints_message &)> &endpoints_told() { return _endpoints_told; }
-	sigc::signal<void(const std::string &, const tell_reading_message &)> &reading_told() { return _reading_told; }
-	sigc::signal<void(const std::string &, const tell_crashes_message &)> &crashes_told() { return _crashes_told; }
-	sigc::signal<void(const std::string &, const tell_limits_message &)> &limits_told() { return _limits_told; }
+	sigc::signal<void(const std::string &, const report_results_message &)> &results_reported() { return _results_told; }
+	sigc::signal<void(const std::string &, const report_prompts_message &)> &prompts_reported() { return _prompts_told; }
+	sigc::signal<void(const std::string &, const report_endpoints_message &)> &endpoints_reported() { return _endpoints_told; }
+	sigc::signal<void(const std::string &, const report_delta_message &)> &delta_reported() { return _reading_told; }
+	sigc::signal<void(const std::string &, const report_crashes_message &)> &crashes_reported() { return _crashes_told; }
+	sigc::signal<void(const std::string &, const report_limits_message &)> &limits_reported() { return _limits_told; }
 
 	const network_address &get_address() const { return _address; }
 	std::uint64_t get_rejected_frames() const { return _rejected_frames; }
--- a/drivers/rollout_wire.cpp
+++ b/drivers/rollout_wire.cpp
@@ -16,7 +16,7 @@
 
 /** Longer times are none, and would overflow when added to the clock. */
 constexpr std::int64_t LONGEST_MS = 30LL * 24 * 3600 * 1000;
-constexpr std::size_t MOST_CELLS = version_tally::MOST_ROUTES * (version_tally::TARGET_GROUPS + 1U) * 2;
+constexpr std::size_t MOST_CELLS = version_tally::MAX_ROUTES * (version_tally::TARGET_GROUPS + 1U) * 2;
 
 std::string read(const flatbuffers::String *p_text) {
 	return p_text == nullptr ? std::string() : p_text->str();
@@ -33,11 +33,11 @@
 using cell_vector = flatbuffers::Vector<const wire::rollout_cell *>;
 
 version_tally read_tally(const cell_vector *p_cells) {
-	std::vector<version_cell> cells;
+	std::vector<answer_counts> cells;
 	if (p_cells != nullptr) {
 		for (const wire::rollout_cell *cell : *p_cells) {
 			if (cell->group() <= version_tally::TARGET_GROUPS && cells.size() < MOST_CELLS) {
-				cells.push_back(version_cell{ cell->route(), static_cast<std::uint8_t>(cell->group()), cell->answers(), cell->bad() });
+				cells.push_back(answer_counts{ cell->route(), static_cast<std::uint8_t>(cell->group()), cell->answers(), cell->bad() });
 			}
 		}
 	}
@@ -48,7 +48,7 @@
 
 flatbuffers::Offset<cell_vector> write_tally(flatbuffers::FlatBufferBuilder &r_builder, const version_tally &p_tally) {
 	std::vector<wire::rollout_cell> cells;
-	for (const version_cell &cell : p_tally.get_cells()) {
+	for (const answer_counts &cell : p_tally.get_cells()) {
 		cells.emplace_back(cell.route, cell.group, cell.answers, cell.bad);
 	}
 	return cells.empty() ? flatbuffers::Offset<cell_vector>() : r_builder.CreateVectorOfStructs(cells);
@@ -66,12 +66,12 @@
 
 } // namespace
 
-flatbuffers::Offset<rollout_offsets> write_rollouts(flatbuffers::FlatBufferBuilder &r_builder, const std::vector<told_rollout> &p_rollouts) {
+flatbuffers::Offset<rollout_offsets> write_rollouts(flatbuffers::FlatBufferBuilder &r_builder, const std::vector<rollout_update> &p_rollouts) {
 	if (p_rollouts.empty()) {
 		return 0;
 	}
 	std::vector<flatbuffers::Offset<wire::rollout_entry>> entries;
-	for (const told_rollout &told : p_rollouts) {
+	for (const rollout_update &told : p_rollouts) {
 		const auto service = r_builder.CreateString(told.order.service);
 		const auto version = r_builder.CreateString(told.order.target_version);
 		const auto barred = r_builder.CreateVectorOfStrings(told.barred);
@@ -84,13 +84,13 @@
 	return r_builder.CreateVector(entries);
 }
 
-std::vector<told_rollout> read_rollouts(const rollout_offsets *p_entries) {
-	std::vector<told_rollout> rollouts;
+std::vector<rollout_update> read_rollouts(const rollout_offsets *p_entries) {
+	std::vector<rollout_update> rollouts;
 	if (p_entries == nullptr) {
 		return rollouts;
 	}
 	for (const wire::rollout_entry *entry : *p_entries) {
-		told_rollout told;
+		rollout_update told;
 		told.order.service = read(entry->service());
 		if (told.order.service.empty() || entry->state() >= static_cast<std::uint8_t>(rollout_state::COUNT)) {
 			continue;
--- a/drivers/rollout_wire.h
+++ b/drivers/rollout_wire.h
@@ -19,10 +19,10 @@
 using rollout_offsets = flatbuffers::Vector<flatbuffers::Offset<wire::rollout_entry>>;
 
 /** Writes them; nothing when there are none. */
-flatbuffers::Offset<rollout_offsets> write_rollouts(flatbuffers::FlatBufferBuilder &r_builder, const std::vector<told_rollout> &p_rollouts);
+flatbuffers::Offset<rollout_offsets> write_rollouts(flatbuffers::FlatBufferBuilder &r_builder, const std::vector<rollout_update> &p_rollouts);
 
 /** Reads them. An entry that names no service, or a state that is none, is left out. */
-std::vector<told_rollout> read_rollouts(const rollout_offsets *p_entries);
+std::vector<rollout_update> read_rollouts(const rollout_offsets *p_entries);
 
 } // namespace calicoscale
 
--- a/main/commands/explain_command.cpp
+++ b/main/commands/explain_command.cpp
@@ -7,7 +7,7 @@
  */
 
 #include "main/commands/command_options.h"
-#include "servers/timeline/request_story.h"
+#include "servers/timeline/request_timeline.h"
 
 #include <fstream>
 #include <iostream>
@@ -45,7 +45,7 @@
 		return exit_code::SUCCESS;
 	}
 	const std::vector<std::string> logs = values["log"].as<std::vector<std::string>>();
-	request_story story(values["id"].as<std::string>());
+	request_timeline story(values["id"].as<std::string>());
 	for (const std::string &log : logs) {
 		read_lines(log, [&story, &log](const std::string &p_line) { story.read(log, p_line); });
 	}
--- a/main/gateway/admission.cpp
+++ b/main/gateway/admission.cpp
@@ -26,23 +26,23 @@
 
 std::optional<refusal> admission::_judge_crashes(const admitted_request &p_request) const {
 	const crash_verdict verdict = _shared.crashes.judge(get_content(p_request));
-	if (verdict.standing != crash_standing::HELD_BACK) {
+	if (verdict.standing != crash_state::BLOCKED) {
 		return std::nullopt;
 	}
-	return refusal{ reason::ENDS_ENDPOINTS, verdict.retry_after, [&p_request, verdict](log_line &r_line) {
+	return refusal{ reason::CRASHES_ENDPOINTS, verdict.retry_after, [&p_request, verdict](log_line &r_line) {
 					   r_line.add("fingerprint", to_string(make_fingerprint(get_content(p_request)))).add("crashes", static_cast<long long>(verdict.crashes)).add("trials", static_cast<long long>(verdict.trials));
 				   } };
 }
 
 std::string admission::_find_closed_off(const admitted_request &p_request) const {
-	if (p_request.homes.is_nowhere() || get_router(_shared, p_request).is_closed_off(make_choice(_context, p_request))) {
+	if (p_request.homes.is_unsatisfiable() || get_router(_shared, p_request).has_no_admitted_endpoint(make_choice(_context, p_request))) {
 		return p_request.service;
 	}
 	const std::vector<std::size_t> &pieces = p_request.facts.stage_pieces;
 	for (std::size_t stage = 0; stage < p_request.route->stages.size(); stage++) {
 		const std::string &pool = p_request.route->stages[stage].pool;
 		const bool is_needed = stage < pieces.size() && pieces[stage] > 0;
-		if (is_needed && _shared.dispatcher.is_closed_off(pool, p_request.homes)) {
+		if (is_needed && _shared.dispatcher.has_no_admitted_endpoint(pool, p_request.homes)) {
 			return pool;
 		}
 	}
@@ -88,7 +88,7 @@
 }
 
 std::optional<refusal> admission::_judge_limits(const admitted_request &p_request) {
-	const std::size_t before = _shared.guard.get_line().count(p_request.service);
+	const std::size_t before = _shared.guard.get_queue().count(p_request.service);
 	const send_prospect prospect = _shared.guard.predict(get_router(_shared, p_request), make_choice(_context, p_request), before);
 	if (prospect.wait && *prospect.wait == duration::zero()) {
 		return std::nullopt;
@@ -99,10 +99,10 @@
 	if (prospect.wait && late <= duration::zero()) {
 		return std::nullopt;
 	}
-	const bool is_backing_off = !prospect.wait && prospect.rest_left;
-	const duration retry_after = is_backing_off ? *prospect.rest_left : _get_return_time(late, p_request);
+	const bool is_backing_off = !prospect.wait && prospect.backoff_left;
+	const duration retry_after = is_backing_off ? *prospect.backoff_left : _get_return_time(late, p_request);
 	return refusal{ reason::NO_ENDPOINT, retry_after, [prospect, before](log_line &r_line) {
-					   r_line.add("limit_wait_ms", prospect.wait.value_or(duration::zero())).add("has_place", prospect.wait ? "yes" : "no").add("rest_left_ms", prospect.rest_left.value_or(duration::zero())).add("before", static_cast<long long>(before));
+					   r_line.add("limit_wait_ms", prospect.wait.value_or(duration::zero())).add("has_place", prospect.wait ? "yes" : "no").add("rest_left_ms", prospect.backoff_left.value_or(duration::zero())).add("before", static_cast<long long>(before));
 				   } };
 }
 
--- a/main/gateway/admitted_request.cpp
+++ b/main/gateway/admitted_request.cpp
@@ -37,8 +37,8 @@
 	if (is_engine(p_request)) {
 		return get_first_event_time(p_services, p_request.route->name);
 	}
-	const auto usual = p_services.usual_times.find(p_request.service);
-	return usual == p_services.usual_times.end() ? duration::zero() : usual->second;
+	const auto typical = p_services.typical_times.find(p_request.service);
+	return typical == p_services.typical_times.end() ? duration::zero() : typical->second;
 }
 
 choice_request make_choice(const gateway_context &p_context, const admitted_request &p_request) {
--- a/main/gateway/admitted_request.h
+++ b/main/gateway/admitted_request.h
@@ -10,7 +10,7 @@
 #define ADMITTED_REQUEST_H
 
 #include "drivers/caller_server.h"
-#include "main/gateway/prompt_exchange.h"
+#include "main/gateway/prompt_sync.h"
 #include "main/gateway/send_permit.h"
 #include "main/gateway/stage_dispatcher.h"
 #include "platform/request_codec.h"
@@ -33,10 +33,10 @@
 	router &services; ///< Endpoints of plain services, own zone first.
 	router &engines; ///< Engines of all zones, chosen by shared prefixes of prompts.
 	std::map<std::string, retry_window> &repeats; ///< By service.
-	std::map<std::string, duration> &usual_times; ///< Typical answer times, by service.
+	std::map<std::string, duration> &typical_times; ///< Typical answer times, by service.
 	commitment_table &commitments;
 	engine_view &engine_caches;
-	prompt_exchange &prompts;
+	prompt_sync &prompts;
 	crash_guard &crashes;
 	std::map<std::string, duration> &first_event_times; ///< Typical time from the send to the first event, by route.
 	send_guard &guard;
--- a/main/gateway/configuration_follower.h
+++ b/main/gateway/configuration_follower.h
@@ -38,10 +38,10 @@
 	void start() { _reader.read_first(); }
 
 	/** Sets the rank of this node in the order in which nodes of its zone read for the first time. */
-	void set_place(std::size_t p_rank) { _reader.set_place(p_rank); }
+	void set_read_rank(std::size_t p_rank) { _reader.set_read_rank(p_rank); }
 
 	/** Sets whether a peer reads for this node as soon as the store answers that peer. */
-	void set_patient(bool p_is_patient) { _reader.set_patient(p_is_patient); }
+	void set_has_peer_reader(bool p_is_patient) { _reader.set_has_peer_reader(p_is_patient); }
 
 	/**
 	 * Puts a document in force if its version is higher.
@@ -60,7 +60,7 @@
 	duration get_unconfirmed_time(instant p_now) const { return _reader.get_unconfirmed_time(p_now); }
 
 	/** Reads the changes made during a stall of this process immediately. */
-	void catch_up() { _reader.read_after_absence(); }
+	void catch_up() { _reader.read_after_stall(); }
 
 	/** Whether the known configuration was confirmed at or after p_moment. */
 	bool is_known_since(instant p_moment) const { return _reader.is_answered_since(p_moment); }
--- a/main/gateway/crash_guard.cpp
+++ b/main/gateway/crash_guard.cpp
@@ -31,7 +31,7 @@
 
 crash_guard::crash_guard(gateway_context &p_context, gateway_fleet &p_fleet, endpoint_follower &p_endpoints) :
 		_context(p_context),
-		_watch(p_context, p_endpoints, [this](const ended_endpoint &p_crashed) { _on_crashed(p_crashed); }),
+		_watch(p_context, p_endpoints, [this](const crashed_endpoint &p_crashed) { _on_crashed(p_crashed); }),
 		_exchange(p_context, p_fleet, _memory, [this](const crash_record &p_record, std::string_view p_source) { _on_event(p_record, p_source); }),
 		_expiry_timer(p_context.loop, [this] { _expire(); }) {
 	p_endpoints.era_entered().connect([this] { _exchange.write_again(); });
@@ -43,8 +43,8 @@
 	_expiry_timer.set(EXPIRY_INTERVAL);
 }
 
-bool crash_guard::is_told() const {
-	return _exchange.is_told() || event_loop::now() - _started_at > MAX_SYNCHRONIZATION_WAIT;
+bool crash_guard::is_synchronized() const {
+	return _exchange.is_synchronized() || event_loop::now() - _started_at > MAX_SYNCHRONIZATION_WAIT;
 }
 
 void crash_guard::_expire() {
@@ -54,19 +54,19 @@
 }
 
 crash_verdict crash_guard::judge(const request_content &p_content) const {
-	if (!_memory.knows_place(hash_place(p_content))) {
+	if (!_memory.knows_target(hash_target(p_content))) {
 		return {};
 	}
 	return _memory.judge(make_fingerprint(p_content), event_loop::now());
 }
 
-void crash_guard::_publish(crash_news p_event, const request_fingerprint &p_run, std::uint64_t p_subject, instant p_at) {
+void crash_guard::_publish(crash_event p_event, const request_fingerprint &p_run, std::uint64_t p_subject, instant p_at) {
 	_exchange.publish(crash_record{ p_event, p_run, p_subject, p_at });
 }
 
-void crash_guard::_on_crashed(const ended_endpoint &p_crashed) {
+void crash_guard::_on_crashed(const crashed_endpoint &p_crashed) {
 	for (const request_fingerprint &run : p_crashed.runs) {
-		_publish(crash_news::ENDED_ENDPOINT, run, make_subject(p_crashed.endpoint), p_crashed.lost_at);
+		_publish(crash_event::CRASHED_ENDPOINT, run, make_subject(p_crashed.endpoint), p_crashed.lost_at);
 	}
 }
 
@@ -80,29 +80,29 @@
 }
 
 void crash_guard::on_run_done(const request_content &p_content) {
-	if (!_memory.knows_place(hash_place(p_content))) {
+	if (!_memory.knows_target(hash_target(p_content))) {
 		return;
 	}
 	const request_fingerprint run = make_fingerprint(p_content);
 	if (_memory.count_crashes(run) > 0) {
-		_publish(crash_news::SERVED, run, 0, event_loop::now());
+		_publish(crash_event::SERVED, run, 0, event_loop::now());
 	}
 }
 
-std::uint64_t crash_guard::ask_trial(const request_content &p_content, std::function<void(bool)> p_on_answer) {
+std::uint64_t crash_guard::request_trial(const request_content &p_content, std::function<void(bool)> p_on_answer) {
 	const std::uint64_t trial = _context.random.get_bits();
 	const request_fingerprint run = make_fingerprint(p_content);
-	asked_trial &requested = _requested[trial];
-	requested = asked_trial{ run, std::move(p_on_answer), std::make_unique<timer>(_context.loop, [this, trial] { _answer_trial(trial); }) };
+	requested_trial &requested = _requested[trial];
+	requested = requested_trial{ run, std::move(p_on_answer), std::make_unique<timer>(_context.loop, [this, trial] { _answer_trial(trial); }) };
 	requested.wait->set(TRIAL_WAIT);
-	_publish(crash_news::TRIAL_ASKED, run, trial, event_loop::now());
+	_publish(crash_event::TRIAL_REQUESTED, run, trial, event_loop::now());
 	return trial;
 }
 
 void crash_guard::_answer_trial(std::uint64_t p_trial) {
 	const auto found = _requested.find(p_trial);
 	// Destroyed later from the event loop, as this function runs inside its timer.
-	const std::shared_ptr<asked_trial> requested = std::make_shared<asked_trial>(std::move(found->second));
+	const std::shared_ptr<requested_trial> requested = std::make_shared<requested_trial>(std::move(found->second));
 	_requested.erase(found);
 	_context.loop.post([requested] {});
 	const instant now = event_loop::now();
@@ -110,7 +110,7 @@
 	if (may_send) {
 		_sent.emplace(p_trial, requested->run);
 	}
-	_publish(may_send ? crash_news::TRIAL_SENT : crash_news::TRIAL_DROPPED, requested->run, p_trial, now);
+	_publish(may_send ? crash_event::TRIAL_SENT : crash_event::TRIAL_DROPPED, requested->run, p_trial, now);
 	requested->on_answer(may_send);
 }
 
@@ -119,14 +119,14 @@
 	if (requested != _requested.end()) {
 		const request_fingerprint run = requested->second.run;
 		_requested.erase(requested);
-		_publish(crash_news::TRIAL_DROPPED, run, p_trial, event_loop::now());
+		_publish(crash_event::TRIAL_DROPPED, run, p_trial, event_loop::now());
 		return;
 	}
 	const auto sent = _sent.find(p_trial);
 	if (sent != _sent.end()) {
 		const request_fingerprint run = sent->second;
 		_sent.erase(sent);
-		_publish(crash_news::TRIAL_ENDED, run, p_trial, event_loop::now());
+		_publish(crash_event::TRIAL_ENDED, run, p_trial, event_loop::now());
 	}
 }
 
--- a/main/gateway/crash_guard.h
+++ b/main/gateway/crash_guard.h
@@ -9,7 +9,7 @@
 #ifndef CRASH_GUARD_H
 #define CRASH_GUARD_H
 
-#include "main/gateway/crash_exchange.h"
+#include "main/gateway/crash_sync.h"
 #include "main/gateway/crash_watch.h"
 
 #include <cstdint>
@@ -26,7 +26,7 @@
  */
 class crash_guard {
 	/** A trial that waits for announcements of competing trials. */
-	struct asked_trial {
+	struct requested_trial {
 		request_fingerprint run;
 		std::function<void(bool)> on_answer;
 		std::unique_ptr<timer> wait;
@@ -35,16 +35,16 @@
 	gateway_context &_context;
 	crash_memory _memory;
 	crash_watch _watch;
-	crash_exchange _exchange;
-	std::map<std::uint64_t, asked_trial> _requested;
+	crash_sync _exchange;
+	std::map<std::uint64_t, requested_trial> _requested;
 	std::map<std::uint64_t, request_fingerprint> _sent; ///< Trials in progress, by id.
 	timer _expiry_timer;
 	instant _started_at{};
 
-	void _on_crashed(const ended_endpoint &p_crashed);
+	void _on_crashed(const crashed_endpoint &p_crashed);
 	void _on_event(const crash_record &p_record, std::string_view p_source);
 	void _answer_trial(std::uint64_t p_trial);
-	void _publish(crash_news p_event, const request_fingerprint &p_run, std::uint64_t p_subject, instant p_at);
+	void _publish(crash_event p_event, const request_fingerprint &p_run, std::uint64_t p_subject, instant p_at);
 	void _expire();
 
 public:
@@ -53,13 +53,13 @@
 	void start();
 
 	/** Whether this node has received the records of others, or has waited long enough for them. */
-	bool is_told() const;
+	bool is_synchronized() const;
 
 	/** Returns the verdict on a request. Reads the request's body only if there are records for its target. */
 	crash_verdict judge(const request_content &p_content) const;
 
 	/** Records an interrupted run. */
-	void on_run_lost(const lost_run &p_run) { _watch.on_run_lost(p_run); }
+	void on_run_interrupted(const interrupted_run &p_run) { _watch.on_run_interrupted(p_run); }
 
 	/** Records that a run completed with a complete answer of its endpoint. */
 	void on_run_done(const request_content &p_content);
@@ -69,7 +69,7 @@
 	 * unless end_trial() is called before.
 	 * @return the trial's id.
 	 */
-	std::uint64_t ask_trial(const request_content &p_content, std::function<void(bool)> p_on_answer);
+	std::uint64_t request_trial(const request_content &p_content, std::function<void(bool)> p_on_answer);
 
 	/** Ends a trial whose request terminated or was not sent. */
 	void end_trial(std::uint64_t p_trial);
--- a/main/gateway/crash_exchange.cpp
+++ b/main/gateway/crash_sync.cpp
@@ -1,12 +1,12 @@
 /*
- * calicoscale: crash_exchange.cpp
+ * calicoscale: crash_sync.cpp
  * Shares records of requests that crash endpoints with other nodes and with the store.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#include "main/gateway/crash_exchange.h"
+#include "main/gateway/crash_sync.h"
 
 #include "servers/gateway/crash_archive.h"
 
@@ -15,7 +15,7 @@
 namespace {
 
 /** Maximum number of records in a message. At 40 bytes each, five messages a second take 28 KB/s, and only while endpoints crash. */
-constexpr std::size_t MOST_RECORDS = 140;
+constexpr std::size_t MAX_RECORDS = 140;
 /** Maximum number of records sent to a newly linked node, 20 KB. */
 constexpr std::size_t MAX_SNAPSHOT_RECORDS = 500;
 /** Time left for the peers of a node that starts alone to send the records over its first link. */
@@ -34,18 +34,18 @@
 	return moment{ event_loop::now(), event_loop::wall() };
 }
 
-news_digest<crash_record> make_digest(const crash_memory &p_memory) {
+update_batch<crash_record> make_digest(const crash_memory &p_memory) {
 	// Many requests are interrupted once. Records of requests that are interrupted repeatedly, and the outcomes of trials, matter
 	// most to other nodes.
-	return news_digest<crash_record>(MOST_RECORDS, [&p_memory](const crash_record &p_record) {
-		const bool is_crash = p_record.news == crash_news::ENDED_ENDPOINT;
+	return update_batch<crash_record>(MAX_RECORDS, [&p_memory](const crash_record &p_record) {
+		const bool is_crash = p_record.news == crash_event::CRASHED_ENDPOINT;
 		return is_crash ? static_cast<double>(p_memory.count_crashes(p_record.run)) : static_cast<double>(crash_memory::CRASHES_TO_TRY);
 	});
 }
 
 } // namespace
 
-crash_exchange::crash_exchange(gateway_context &p_context, gateway_fleet &p_fleet, crash_memory &p_memory, std::function<void(const crash_record &, std::string_view)> p_on_event) :
+crash_sync::crash_sync(gateway_context &p_context, gateway_fleet &p_fleet, crash_memory &p_memory, std::function<void(const crash_record &, std::string_view)> p_on_event) :
 		_context(p_context),
 		_fleet(p_fleet),
 		_memory(p_memory),
@@ -54,15 +54,15 @@
 		_read_timer(p_context.loop, [this] { _read(); }),
 		_write_timer(p_context.loop, [this] { _write_next(); }) {
 	_fleet.get_link().link_up().connect([this](const std::string &p_vm) { _on_link_up(p_vm); });
-	_fleet.get_link().crashes_told().connect([this](const std::string &p_vm, const tell_crashes_message &p_message) { _on_reported(p_vm, p_message); });
+	_fleet.get_link().crashes_reported().connect([this](const std::string &p_vm, const report_crashes_message &p_message) { _on_reported(p_vm, p_message); });
 }
 
-void crash_exchange::start() {
+void crash_sync::start() {
 	const bool has_peers = !_context.settings.peers.empty();
 	_read_timer.set(has_peers ? MIN_FIRST_READ_DELAY + from_seconds(_context.random.get_unit() * to_seconds(FIRST_READ_SPREAD)) : duration::zero());
 }
 
-void crash_exchange::publish(const crash_record &p_record) {
+void crash_sync::publish(const crash_record &p_record) {
 	const std::size_t crashes_before = _memory.count_crashes(p_record.run);
 	if (!_memory.take(p_record, event_loop::now())) {
 		return;
@@ -76,7 +76,7 @@
 	}
 }
 
-void crash_exchange::write_again() {
+void crash_sync::write_again() {
 	const std::vector<std::string> nodes = _fleet.get_dispatch_nodes();
 	if (!nodes.empty() && nodes.front() != _fleet.get_vm()) {
 		return;
@@ -92,27 +92,27 @@
 	}
 }
 
-void crash_exchange::_on_link_up(const std::string &p_vm) {
+void crash_sync::_on_link_up(const std::string &p_vm) {
 	_send(p_vm, _memory.get_records(MAX_SNAPSHOT_RECORDS), _knows_store);
 }
 
-void crash_exchange::_send(const std::string &p_vm, const std::vector<crash_record> &p_records, bool p_is_whole) {
+void crash_sync::_send(const std::string &p_vm, const std::vector<crash_record> &p_records, bool p_is_whole) {
 	const instant now = event_loop::now();
-	tell_crashes_message message;
+	report_crashes_message message;
 	message.is_whole = p_is_whole;
 	message.news.reserve(p_records.size());
 	for (const crash_record &record : p_records) {
-		message.news.push_back(told_crash{ record.news, record.run, record.subject, now - record.at });
+		message.news.push_back(reported_crash{ record.news, record.run, record.subject, now - record.at });
 	}
 	_fleet.get_link().send(p_vm, message);
 	_context.metrics.count("crash_news_told", static_cast<double>(p_records.size()));
 	_context.metrics.set_gauge("crash_news_not_told", static_cast<double>(_relay.get_dropped()));
 }
 
-void crash_exchange::_on_reported(const std::string &p_vm, const tell_crashes_message &p_message) {
+void crash_sync::_on_reported(const std::string &p_vm, const report_crashes_message &p_message) {
 	const instant now = event_loop::now();
 	std::vector<crash_record> new_records;
-	for (const told_crash &reported : p_message.news) {
+	for (const reported_crash &reported : p_message.news) {
 		const crash_record record{ reported.news, reported.run, reported.subject, now - reported.age };
 		if (_memory.take(record, now)) {
 			_on_event(record, "peer/" + p_vm);
@@ -120,14 +120,14 @@
 		}
 	}
 	_is_synchronized = true;
-	_relay.add_told(p_vm, new_records);
+	_relay.add_reported(p_vm, new_records);
 	_relay.send_soon();
 	if (p_message.is_whole) {
 		_on_store_known();
 	}
 }
 
-void crash_exchange::_on_store_known() {
+void crash_sync::_on_store_known() {
 	if (_knows_store) {
 		return;
 	}
@@ -139,11 +139,11 @@
 	}
 }
 
-void crash_exchange::_read() {
+void crash_sync::_read() {
 	_context.store.read_newest(std::string(get_crash_topic()), true, [this](const store_answer &p_answer) { _on_read(p_answer); });
 }
 
-void crash_exchange::_on_read(const store_answer &p_answer) {
+void crash_sync::_on_read(const store_answer &p_answer) {
 	if (p_answer.status != store_status::OK) {
 		_read_timer.set(READ_RETRY);
 		return;
@@ -168,7 +168,7 @@
 	_on_store_known();
 }
 
-void crash_exchange::_write_next() {
+void crash_sync::_write_next() {
 	if (_to_write.empty()) {
 		return;
 	}
@@ -179,7 +179,7 @@
 	_context.store.put(std::string(get_crash_topic()), write_crash_key(run), value, [this, run](bool p_written) { _on_written(run, p_written); });
 }
 
-void crash_exchange::_on_written(const request_fingerprint &p_run, bool p_written) {
+void crash_sync::_on_written(const request_fingerprint &p_run, bool p_written) {
 	_is_write_open = false;
 	if (!p_written) {
 		_to_write.insert(p_run);
--- a/main/gateway/crash_exchange.h
+++ b/main/gateway/crash_sync.h
@@ -1,13 +1,13 @@
 /*
- * calicoscale: crash_exchange.h
+ * calicoscale: crash_sync.h
  * Shares records of requests that crash endpoints with other nodes and with the store.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#ifndef CRASH_EXCHANGE_H
-#define CRASH_EXCHANGE_H
+#ifndef CRASH_SYNC_H
+#define CRASH_SYNC_H
 
 #include "main/gateway/hub_relay.h"
 #include "servers/gateway/crash_memory.h"
@@ -24,7 +24,7 @@
  * are on trial or blocked, so that a restarted fleet need not crash endpoints to identify them again. The store is read once at the
  * start, unless a peer sends its content earlier.
  */
-class crash_exchange {
+class crash_sync {
 	gateway_context &_context;
 	gateway_fleet &_fleet;
 	crash_memory &_memory;
@@ -38,7 +38,7 @@
 	bool _knows_store = false; ///< The content of the store is known, from a read or from a peer that knows it.
 
 	void _on_link_up(const std::string &p_vm);
-	void _on_reported(const std::string &p_vm, const tell_crashes_message &p_message);
+	void _on_reported(const std::string &p_vm, const report_crashes_message &p_message);
 	void _send(const std::string &p_vm, const std::vector<crash_record> &p_records, bool p_is_whole);
 	/** Sends all records to the linked nodes as the content of the store is now known, so that they need not read it. */
 	void _on_store_known();
@@ -49,7 +49,7 @@
 
 public:
 	/** @param p_on_event receives each new record, of this node, a peer or the store, and its source. */
-	crash_exchange(gateway_context &p_context, gateway_fleet &p_fleet, crash_memory &p_memory, std::function<void(const crash_record &, std::string_view)> p_on_event);
+	crash_sync(gateway_context &p_context, gateway_fleet &p_fleet, crash_memory &p_memory, std::function<void(const crash_record &, std::string_view)> p_on_event);
 
 	/** Schedules the read of the store: after a delay if there are peers, which may send its content earlier. */
 	void start();
@@ -61,9 +61,9 @@
 	void write_again();
 
 	/** Whether a peer or the store has sent its records. */
-	bool is_told() const { return _is_synchronized; }
+	bool is_synchronized() const { return _is_synchronized; }
 };
 
 } // namespace calicoscale
 
-#endif // CRASH_EXCHANGE_H
+#endif // CRASH_SYNC_H
--- a/main/gateway/crash_watch.cpp
+++ b/main/gateway/crash_watch.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-crash_watch::crash_watch(gateway_context &p_context, endpoint_follower &p_endpoints, std::function<void(const ended_endpoint &)> p_on_crashed) :
+crash_watch::crash_watch(gateway_context &p_context, endpoint_follower &p_endpoints, std::function<void(const crashed_endpoint &)> p_on_crashed) :
 		_context(p_context),
 		_endpoints(p_endpoints),
 		_on_crashed(std::move(p_on_crashed)),
@@ -25,7 +25,7 @@
 		_list_check_timer(p_context.loop, [this] { _check_list(); }) {
 }
 
-void crash_watch::on_run_lost(const lost_run &p_run) {
+void crash_watch::on_run_interrupted(const interrupted_run &p_run) {
 	if (!_endpoints.get_directory().is_staying(p_run.endpoint)) {
 		return;
 	}
@@ -39,7 +39,7 @@
 }
 
 void crash_watch::_on_probed(const endpoint_identity &p_endpoint, probe_end p_end, instant p_interrupted_at) {
-	const ended_endpoint crashed{ p_endpoint, _interrupted.on_probed(p_endpoint, p_end), p_interrupted_at };
+	const crashed_endpoint crashed{ p_endpoint, _interrupted.on_probed(p_endpoint, p_end), p_interrupted_at };
 	_context.log.write(log_line("endpoint_probed").add("endpoint", p_endpoint.vm).add("end", get_name(p_end)).add("took_ms", event_loop::now() - p_interrupted_at).add("runs", static_cast<long long>(crashed.runs.size())));
 	if (!crashed.runs.empty()) {
 		_report_crashed(crashed, "probe");
@@ -51,7 +51,7 @@
 
 void crash_watch::_check_list() {
 	const auto is_listed = [this](const endpoint_identity &p_endpoint) { return _endpoints.get_directory().contains_start(p_endpoint) && !_endpoints.get_directory().is_superseded(p_endpoint); };
-	for (const ended_endpoint &crashed : _interrupted.take_ended(is_listed, event_loop::now())) {
+	for (const crashed_endpoint &crashed : _interrupted.take_ended(is_listed, event_loop::now())) {
 		_report_crashed(crashed, "entry");
 	}
 	if (!_interrupted.is_empty()) {
@@ -59,7 +59,7 @@
 	}
 }
 
-void crash_watch::_report_crashed(const ended_endpoint &p_crashed, std::string_view p_evidence) {
+void crash_watch::_report_crashed(const crashed_endpoint &p_crashed, std::string_view p_evidence) {
 	for (const request_fingerprint &run : p_crashed.runs) {
 		_context.metrics.count("runs_lost_with_endpoint");
 		_context.log.write_request(log_line("endpoint_ended_under_run").add("fingerprint", to_string(run)).add("endpoint", p_crashed.endpoint.vm).add("evidence", p_evidence).add("runs", static_cast<long long>(p_crashed.runs.size())));
--- a/main/gateway/crash_watch.h
+++ b/main/gateway/crash_watch.h
@@ -12,7 +12,7 @@
 #include "drivers/endpoint_probe.h"
 #include "main/gateway/endpoint_follower.h"
 #include "main/gateway/gateway_context.h"
-#include "servers/gateway/lost_runs.h"
+#include "servers/gateway/interrupted_runs.h"
 
 #include <functional>
 #include <string>
@@ -21,7 +21,7 @@
 namespace calicoscale {
 
 /** A run whose connection ended before the answer was complete, so that its outcome is unknown. */
-struct lost_run {
+struct interrupted_run {
 	std::string attempt; ///< Id of its request, for logs.
 	request_fingerprint fingerprint;
 	endpoint_identity endpoint;
@@ -32,21 +32,21 @@
 class crash_watch {
 	gateway_context &_context;
 	endpoint_follower &_endpoints;
-	std::function<void(const ended_endpoint &)> _on_crashed;
-	lost_runs _interrupted;
+	std::function<void(const crashed_endpoint &)> _on_crashed;
+	interrupted_runs _interrupted;
 	endpoint_probe _probe;
 	timer _list_check_timer; ///< Checks whether endpoints with interrupted runs are still listed.
 
 	void _on_probed(const endpoint_identity &p_endpoint, probe_end p_end, instant p_interrupted_at);
 	void _check_list();
-	void _report_crashed(const ended_endpoint &p_crashed, std::string_view p_evidence);
+	void _report_crashed(const crashed_endpoint &p_crashed, std::string_view p_evidence);
 
 public:
 	/** @param p_on_crashed receives each endpoint that crashed, with the runs interrupted there. */
-	crash_watch(gateway_context &p_context, endpoint_follower &p_endpoints, std::function<void(const ended_endpoint &)> p_on_crashed);
+	crash_watch(gateway_context &p_context, endpoint_follower &p_endpoints, std::function<void(const crashed_endpoint &)> p_on_crashed);
 
 	/** Records an interrupted run. Ignores endpoints that are leaving: they exit on purpose, and no request is the cause. */
-	void on_run_lost(const lost_run &p_run);
+	void on_run_interrupted(const interrupted_run &p_run);
 };
 
 } // namespace calicoscale
--- a/main/gateway/endpoint_follower.cpp
+++ b/main/gateway/endpoint_follower.cpp
@@ -91,16 +91,16 @@
 		if (_is_era_unreported) {
 			// Peers that receive deltas know no position of this era. With the snapshot they need not read the store themselves.
 			_is_era_unreported = false;
-			_delta_published.emit(_directory.make_whole_reading(_reader.get_known()));
+			_delta_published.emit(_directory.make_snapshot_delta(_reader.get_known()));
 		}
 		return;
 	}
-	const endpoint_reading reading = _apply_records(p_answer);
+	const endpoint_delta reading = _apply_records(p_answer);
 	_set_timers();
 	_delta_published.emit(reading);
 }
 
-void endpoint_follower::take_reading(const endpoint_reading &p_reading, const std::string &p_peer) {
+void endpoint_follower::apply_delta(const endpoint_delta &p_reading, const std::string &p_peer) {
 	const log_position known = _reader.get_known();
 	// A delta of a reader that does not count starts lacks them, and later deltas would not add them.
 	const bool has_starts = p_reading.listed_starts != 0;
@@ -126,13 +126,13 @@
 	}
 	_filter.on_told(p_reading);
 	_directory.on_read(now);
-	_directory.take_reading(p_reading, now);
+	_directory.apply_delta(p_reading, now);
 	_set_timers();
 	_reader.read_in(PEER_READ_TIMEOUT);
 	_compare(p_reading, p_peer);
 }
 
-void endpoint_follower::_compare(const endpoint_reading &p_reading, const std::string &p_peer) {
+void endpoint_follower::_compare(const endpoint_delta &p_reading, const std::string &p_peer) {
 	const instant now = event_loop::now();
 	if (_directory.is_like(p_reading) || now - _difference_found_at < MIN_SNAPSHOT_INTERVAL) {
 		return;
@@ -140,7 +140,7 @@
 	_difference_found_at = now;
 	_context.metrics.count("endpoint_lists_differed");
 	_context.log.write(log_line("endpoint_lists_differ").add("peer", p_peer).add("endpoints", static_cast<long long>(_directory.get_size())).add("offset", static_cast<long long>(_reader.get_known().offset)));
-	_reader.read_whole();
+	_reader.load_snapshot();
 }
 
 duration endpoint_follower::_get_read_interval(bool p_awaits_entries) const {
@@ -148,7 +148,7 @@
 		return RETURN_INTERVAL;
 	}
 	// If all nodes read the list while endpoints register, their load delays the few nodes that read for the others.
-	if (_reader.is_patient()) {
+	if (_reader.has_peer_reader()) {
 		return PEER_READ_TIMEOUT;
 	}
 	return _directory.get_size() == 0 ? RETRY_INTERVAL : READ_INTERVAL;
@@ -165,18 +165,18 @@
 	_reader.read_in(_get_read_interval(drop_at.has_value()));
 }
 
-endpoint_reading endpoint_follower::_apply_records(const store_answer &p_answer) {
+endpoint_delta endpoint_follower::_apply_records(const store_answer &p_answer) {
 	const instant now = event_loop::now();
 	const std::vector<endpoint_record> records = _filter.take(read_entries(p_answer), _directory.get_entries(), now);
 	_report_rejected();
-	endpoint_reading reading = _directory.take_records(records, p_answer.next_offset - p_answer.records.size(), p_answer.next_offset, now);
+	endpoint_delta reading = _directory.apply_records(records, p_answer.next_offset - p_answer.records.size(), p_answer.next_offset, now);
 	reading.era = p_answer.era;
 	return reading;
 }
 
 void endpoint_follower::_apply_snapshot(const store_answer &p_answer) {
 	const instant now = event_loop::now();
-	const std::vector<endpoint_listing> listings = _filter.take_whole(read_entries(p_answer), _directory.get_entries(), now);
+	const std::vector<endpoint_listing> listings = _filter.apply_snapshot(read_entries(p_answer), _directory.get_entries(), now);
 	_report_rejected();
 	_directory.replace(listings, now);
 }
@@ -186,8 +186,8 @@
 		const std::string_view reason = get_name(entry.fault);
 		_context.metrics.count("endpoint_entry_rejected");
 		_context.metrics.count("endpoint_entry_rejected_" + std::string(reason));
-		if (_rejections.is_news(entry.name, entry.fault, event_loop::now())) {
-			_context.log.write(log_line("endpoint_entry_rejected").add("endpoint", entry.name).add("reason", reason).add("in_use", entry.was_in_use ? "yes" : "no").add("untold", static_cast<long long>(_rejections.take_untold())));
+		if (_rejections.is_new(entry.name, entry.fault, event_loop::now())) {
+			_context.log.write(log_line("endpoint_entry_rejected").add("endpoint", entry.name).add("reason", reason).add("in_use", entry.was_in_use ? "yes" : "no").add("untold", static_cast<long long>(_rejections.take_suppressed())));
 		}
 	}
 }
@@ -199,15 +199,15 @@
 	}
 }
 
-void endpoint_follower::mark_gone(const endpoint_identity &p_identity, const std::string &p_peer) {
-	if (_directory.mark_gone(p_identity, event_loop::now())) {
+void endpoint_follower::mark_removed(const endpoint_identity &p_identity, const std::string &p_peer) {
+	if (_directory.mark_removed(p_identity, event_loop::now())) {
 		_context.log.write(log_line("endpoint_gone").add("endpoint", p_identity.vm).add("incarnation", static_cast<long long>(p_identity.incarnation)).add("source", "peer/" + p_peer));
 		_publish();
 	}
 }
 
-void endpoint_follower::drop_told() {
-	for (const endpoint_identity &identity : _directory.drop_told(event_loop::now())) {
+void endpoint_follower::drop_reported_removals() {
+	for (const endpoint_identity &identity : _directory.drop_reported_removals(event_loop::now())) {
 		_context.log.write(log_line("endpoint_gone").add("endpoint", identity.vm).add("incarnation", static_cast<long long>(identity.incarnation)).add("source", "peers, before"));
 	}
 	_publish();
--- a/main/gateway/endpoint_follower.h
+++ b/main/gateway/endpoint_follower.h
@@ -12,7 +12,7 @@
 #include "main/gateway/topic_reader.h"
 #include "servers/gateway/endpoint_directory.h"
 #include "servers/gateway/endpoint_record_filter.h"
-#include "servers/gateway/rejection_notes.h"
+#include "servers/gateway/rejection_log_filter.h"
 
 #include <sigc++/sigc++.h>
 
@@ -23,11 +23,11 @@
 	gateway_context &_context;
 	endpoint_directory _directory;
 	endpoint_record_filter _filter;
-	rejection_notes _rejections;
+	rejection_log_filter _rejections;
 	topic_reader _reader;
 	timer _drop_timer; ///< Drops entries that are missing since an outage of the store and did not come back.
 	sigc::signal<void()> _changed;
-	sigc::signal<void(const endpoint_reading &)> _delta_published;
+	sigc::signal<void(const endpoint_delta &)> _delta_published;
 	sigc::signal<void()> _era_entered;
 	bool _is_era_unreported = false; ///< The first snapshot of the current era is still to be published to peers.
 	instant _difference_found_at{}; ///< When this node last read a snapshot because its list differed from a peer's.
@@ -41,8 +41,8 @@
 	 */
 	duration _get_read_interval(bool p_awaits_entries) const;
 	void _set_timers();
-	endpoint_reading _apply_records(const store_answer &p_answer);
-	void _compare(const endpoint_reading &p_reading, const std::string &p_peer);
+	endpoint_delta _apply_records(const store_answer &p_answer);
+	void _compare(const endpoint_delta &p_reading, const std::string &p_peer);
 	void _apply_snapshot(const store_answer &p_answer);
 	void _report_rejected();
 	void _publish();
@@ -54,16 +54,16 @@
 	void start() { _reader.read_first(); }
 
 	/** Sets the rank of this node in the order in which nodes of its zone read for the first time. */
-	void set_place(std::size_t p_rank) { _reader.set_place(p_rank); }
+	void set_read_rank(std::size_t p_rank) { _reader.set_read_rank(p_rank); }
 
 	/** Sets whether a peer reads for this node as soon as the store answers that peer. */
-	void set_patient(bool p_is_patient) { _reader.set_patient(p_is_patient); }
+	void set_has_peer_reader(bool p_is_patient) { _reader.set_has_peer_reader(p_is_patient); }
 
 	/** Returns the position up to which this node knows the topic, or zero if it has no snapshot. */
 	log_position get_known() const { return _reader.is_loaded() ? _reader.get_known() : log_position(); }
 
 	/** Reads the changes made during a stall of this process immediately. */
-	void catch_up() { _reader.read_after_absence(); }
+	void catch_up() { _reader.read_after_stall(); }
 
 	/** Whether the known list was confirmed at or after p_moment. */
 	bool is_known_since(instant p_moment) const { return _reader.is_answered_since(p_moment); }
@@ -72,10 +72,10 @@
 	void mark_leaving(const endpoint_identity &p_identity, std::string_view p_source);
 
 	/** Drops endpoints whose removal peers reported earlier and that count as removed by now. */
-	void drop_told();
+	void drop_reported_removals();
 
 	/** Marks an endpoint as removed, as reported by a peer that reads the store continuously and saw the entry disappear. */
-	void mark_gone(const endpoint_identity &p_identity, const std::string &p_peer);
+	void mark_removed(const endpoint_identity &p_identity, const std::string &p_peer);
 
 	/** Offers the list of a peer and the position up to which the peer knows the topic. Both are adopted if this node has no list. */
 	void offer(const std::vector<endpoint_listing> &p_listings, const log_position &p_known, const std::string &p_peer);
@@ -86,10 +86,10 @@
 	 * starts of endpoints is ignored. A delta of a later era of the store is applied if it is a snapshot; otherwise this node
 	 * reads the store itself after a short random delay.
 	 */
-	void take_reading(const endpoint_reading &p_reading, const std::string &p_peer);
+	void apply_delta(const endpoint_delta &p_reading, const std::string &p_peer);
 
 	/** Emitted with the delta of each read by this node, for peers that do not read the store. */
-	sigc::signal<void(const endpoint_reading &)> &reading_taken() { return _delta_published; }
+	sigc::signal<void(const endpoint_delta &)> &delta_published() { return _delta_published; }
 
 	/** Emitted when the store was restored from an older copy, so that records which this node wrote may be missing. */
 	sigc::signal<void()> &era_entered() { return _era_entered; }
--- a/main/gateway/endpoint_choice.cpp
+++ b/main/gateway/endpoint_selector.cpp
@@ -1,26 +1,26 @@
 /*
- * calicoscale: endpoint_choice.cpp
+ * calicoscale: endpoint_selector.cpp
  * Chooses the endpoint that a request is sent to.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#include "main/gateway/endpoint_choice.h"
+#include "main/gateway/endpoint_selector.h"
 
 #include <algorithm>
 
 namespace calicoscale {
 
-endpoint_choice::endpoint_choice(request_services &p_services, const admitted_request &p_request) :
+endpoint_selector::endpoint_selector(request_services &p_services, const admitted_request &p_request) :
 		_services(p_services), _request(p_request), _prompt(make_prompt_links(p_request)) {
 }
 
-choice_request endpoint_choice::make() const {
+choice_request endpoint_selector::make() const {
 	return _make(_services.guard.get_rollouts().has_moved(_request.service));
 }
 
-choice_request endpoint_choice::_make(bool p_for_target) const {
+choice_request endpoint_selector::_make(bool p_for_target) const {
 	choice_request choice = make_choice(_services.context, _request);
 	choice.avoid = _avoid;
 	if (_services.guard.get_rollouts().is_rolled_out(_request.service)) {
@@ -31,7 +31,7 @@
 	return choice;
 }
 
-std::optional<endpoint_id> endpoint_choice::choose(const std::string &p_zone) {
+std::optional<endpoint_id> endpoint_selector::choose(const std::string &p_zone) {
 	const rollout_service &rollouts = _services.guard.get_rollouts();
 	// A repeat does not try the target version again.
 	const bool is_for_target = !_is_repeat && rollouts.is_for_target(_request.service, _request.facts.attempt);
@@ -42,7 +42,7 @@
 	return chosen ? chosen : _choose_among(_make(false), p_zone);
 }
 
-std::optional<endpoint_id> endpoint_choice::_choose_among(const choice_request &p_choice, const std::string &p_zone) {
+std::optional<endpoint_id> endpoint_selector::_choose_among(const choice_request &p_choice, const std::string &p_zone) {
 	const instant now = event_loop::now();
 	if (!is_engine(_request)) {
 		return _services.services.choose(p_choice, now);
@@ -60,12 +60,12 @@
 	return candidates[_services.engine_caches.choose(candidates, _prompt, p_zone, now)].id;
 }
 
-std::string endpoint_choice::choose_zone() {
+std::string endpoint_selector::choose_zone() {
 	const std::optional<endpoint_id> chosen = choose("");
 	return chosen ? get_router(_services, _request).find(*chosen)->listing.zone : "";
 }
 
-std::optional<endpoint_id> endpoint_choice::choose_quietest() const {
+std::optional<endpoint_id> endpoint_selector::choose_quietest() const {
 	const std::vector<const endpoint_state *> usable = get_router(_services, _request).get_usable(make(), event_loop::now());
 	const auto quietest = std::min_element(usable.begin(), usable.end(), [](const endpoint_state *p_left, const endpoint_state *p_right) { return p_left->in_flight < p_right->in_flight; });
 	return quietest == usable.end() ? std::nullopt : std::optional((*quietest)->id);
--- a/main/gateway/endpoint_choice.h
+++ b/main/gateway/endpoint_selector.h
@@ -1,13 +1,13 @@
 /*
- * calicoscale: endpoint_choice.h
+ * calicoscale: endpoint_selector.h
  * Chooses the endpoint that a request is sent to.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#ifndef ENDPOINT_CHOICE_H
-#define ENDPOINT_CHOICE_H
+#ifndef ENDPOINT_SELECTOR_H
+#define ENDPOINT_SELECTOR_H
 
 #include "main/gateway/admitted_request.h"
 
@@ -18,7 +18,7 @@
 namespace calicoscale {
 
 /** Chooses the endpoint for each send of one request. */
-class endpoint_choice {
+class endpoint_selector {
 	request_services &_services;
 	const admitted_request &_request;
 	std::vector<prompt_link> _prompt;
@@ -31,7 +31,7 @@
 
 public:
 	/** @param p_request Must outlive this object. */
-	endpoint_choice(request_services &p_services, const admitted_request &p_request);
+	endpoint_selector(request_services &p_services, const admitted_request &p_request);
 
 	/** Describes the endpoints that the request may be sent to. */
 	choice_request make() const;
@@ -56,4 +56,4 @@
 
 } // namespace calicoscale
 
-#endif // ENDPOINT_CHOICE_H
+#endif // ENDPOINT_SELECTOR_H
--- a/main/gateway/evacuation_follower.cpp
+++ b/main/gateway/evacuation_follower.cpp
@@ -21,15 +21,15 @@
 
 void evacuation_follower::_apply_answer(const store_answer &p_answer, bool p_is_whole) {
 	if (p_is_whole) {
-		_table.take_whole(read_evacuated_zones(p_answer.records), log_position{ p_answer.era, p_answer.next_offset }, event_loop::now());
+		_table.apply_snapshot(read_evacuated_zones(p_answer.records), log_position{ p_answer.era, p_answer.next_offset }, event_loop::now());
 	} else {
-		_table.take_records(read_evacuations(p_answer.records, p_answer.next_offset - p_answer.records.size()), p_answer.era);
+		_table.apply_records(read_evacuations(p_answer.records, p_answer.next_offset - p_answer.records.size()), p_answer.era);
 	}
 	_publish("store");
 }
 
 void evacuation_follower::offer(const evacuation_state &p_state, const std::string &p_peer) {
-	if (_table.take_told(p_state, event_loop::now())) {
+	if (_table.apply_update(p_state, event_loop::now())) {
 		_publish("peer/" + p_peer);
 	}
 }
--- a/main/gateway/gateway.cpp
+++ b/main/gateway/gateway.cpp
@@ -84,15 +84,15 @@
 	_commitment_sync.set_capacity_source([this] { return _dispatcher.get_capacities(); });
 	_callers.set_write_budget(static_cast<std::size_t>(p_settings.memory_bytes * SLOW_READER_MEMORY_FRACTION));
 	_callers.set_on_slow_reader([this](const slow_reader &p_reader) { _on_slow_reader(p_reader); });
-	_callers.set_on_crossed([this](const crossed_end &p_crossed) { _on_post_close_input(p_crossed); });
-	_dispatcher.set_on_run_lost([this](const lost_run &p_run) { _crashes.on_run_lost(p_run); });
-	_stall_connection = _context.loop.held_up().connect([this](const hold_up &p_hold_up) { _on_stall(p_hold_up); });
-	_fleet.reach_changed().connect([this](const std::set<std::string> &p_zones) { _on_reach_changed(p_zones); });
+	_callers.set_on_post_close_input([this](const post_close_input &p_crossed) { _on_post_close_input(p_crossed); });
+	_dispatcher.set_on_run_interrupted([this](const interrupted_run &p_run) { _crashes.on_run_interrupted(p_run); });
+	_stall_connection = _context.loop.stalled().connect([this](const process_stall &p_hold_up) { _on_stall(p_hold_up); });
+	_fleet.reachability_changed().connect([this](const std::set<std::string> &p_zones) { _on_reach_changed(p_zones); });
 	_configuration.changed().connect([this] { _on_configuration(); });
 	_endpoints.changed().connect([this] { _on_endpoints(); });
 	_evacuations.changed().connect([this](const evacuation_change &p_change) { _on_evacuation(p_change); });
 	for (router *choices : { &_services, &_engines }) {
-		choices->set_limit([this](const endpoint_identity &p_endpoint, instant p_now) { return _guard.may_send(p_endpoint, sender_part::SHARE, p_now); });
+		choices->set_limit([this](const endpoint_identity &p_endpoint, instant p_now) { return _guard.may_send(p_endpoint, sender_share::SHARE, p_now); });
 	}
 	router_settings routing;
 	routing.connect_failures_to_eject = 1;
@@ -143,7 +143,7 @@
 
 bool gateway::_must_wait(const gateway_route &p_route) const {
 	// Without the other nodes' crash records, this node would send a request that crashes endpoints.
-	return (!_settled && !p_route.stages.empty()) || !_crashes.is_told();
+	return (!_settled && !p_route.stages.empty()) || !_crashes.is_synchronized();
 }
 
 void gateway::_defer(const std::shared_ptr<caller_exchange> &p_exchange) {
@@ -212,7 +212,7 @@
 	_services.set_evacuated_zones(zones);
 	_dispatcher.set_evacuated_zones(zones);
 	if (!p_change.is_evacuated && _configuration.get_current()) {
-		_guard.get_limits().on_taken_back(p_change.zone, _endpoints.get_directory().get_listings(), *_configuration.get_current(), event_loop::now());
+		_guard.get_limits().on_zone_restored(p_change.zone, _endpoints.get_directory().get_listings(), *_configuration.get_current(), event_loop::now());
 	}
 	_on_endpoints();
 }
@@ -255,9 +255,9 @@
 }
 
 void gateway::_on_reach_changed(const std::set<std::string> &p_zones) {
-	_engines.set_unreached_zones(p_zones);
-	_services.set_unreached_zones(p_zones);
-	_for_each_request([&p_zones](gateway_request &p_request) { p_request.on_reach_changed(p_zones); });
+	_engines.set_unreachable_zones(p_zones);
+	_services.set_unreachable_zones(p_zones);
+	_for_each_request([&p_zones](gateway_request &p_request) { p_request.on_reachability_changed(p_zones); });
 }
 
 void gateway::_refuse(caller_exchange &p_exchange, int p_status, reason p_reason) {
@@ -365,7 +365,7 @@
 	_context.log.write(log_line("slow_reader_ended").add("untaken_bytes", static_cast<long long>(p_reader.untaken)).add("since_ms", p_reader.since).add("held_bytes", static_cast<long long>(p_reader.held)));
 }
 
-void gateway::_on_post_close_input(const crossed_end &p_crossed) {
+void gateway::_on_post_close_input(const post_close_input &p_crossed) {
 	_context.metrics.count("bytes_crossed_end");
 	_context.log.write_request(log_line("bytes_crossed_end").add("end", get_name(p_crossed.end)).add("since_end_ms", p_crossed.since_end).add("rested_ms", p_crossed.rested).add("bytes", static_cast<long long>(p_crossed.bytes)).add("read", p_crossed.was_read ? "yes" : "no").add("idle_limit_ms", _get_idle_limit()).add("version", static_cast<long long>(_configuration.get_version())));
 }
@@ -376,7 +376,7 @@
 
 void gateway::_on_metrics(caller_exchange &p_exchange) {
 	_context.metrics.set_gauge("open_requests", static_cast<double>(_requests.size()));
-	_context.metrics.set_gauge("bytes_held_for_callers", static_cast<double>(_callers.get_held_bytes()));
+	_context.metrics.set_gauge("bytes_held_for_callers", static_cast<double>(_callers.get_buffered_bytes()));
 	_context.metrics.set_gauge("caller_connections", static_cast<double>(_callers.get_connection_count()));
 	_context.metrics.set_gauge("rejected_requests", static_cast<double>(_callers.get_rejected()));
 	for (const auto &[end, number] : _callers.get_ended()) {
@@ -413,10 +413,10 @@
 	}
 }
 
-void gateway::_on_stall(const hold_up &p_hold_up) {
+void gateway::_on_stall(const process_stall &p_hold_up) {
 	_context.metrics.count("loop_held_up");
 	_context.log.write(log_line("loop_held_up").add("late_ms", p_hold_up.late).add("by", get_name(p_hold_up.cause)).add("open", static_cast<long long>(_requests.size())).add("version", static_cast<long long>(_configuration.get_version())));
-	_fleet.on_held_up(p_hold_up.late);
+	_fleet.on_stall(p_hold_up.late);
 	if (p_hold_up.late * APPLY_TIME_DIVISOR < _context.settings.configuration_apply || !_configuration.get_current()) {
 		return;
 	}
--- a/main/gateway/gateway.h
+++ b/main/gateway/gateway.h
@@ -11,7 +11,7 @@
 
 #include "main/gateway/activity_report.h"
 #include "main/gateway/admission.h"
-#include "main/gateway/commitment_exchange.h"
+#include "main/gateway/commitment_sync.h"
 #include "main/gateway/gateway_request.h"
 
 #include <functional>
@@ -35,7 +35,7 @@
 	endpoint_follower _endpoints;
 	evacuation_follower _evacuations;
 	commitment_table _commitments;
-	commitment_exchange _commitment_sync;
+	commitment_sync _commitment_sync;
 	gateway_fleet _fleet;
 	rollout_service _rollouts;
 	send_guard _guard;
@@ -43,7 +43,7 @@
 	router _services;
 	router _engines;
 	engine_view _engine_caches;
-	prompt_exchange _prompts;
+	prompt_sync _prompts;
 	crash_guard _crashes;
 	std::map<std::string, retry_window> _repeats;
 	std::map<std::string, duration> _typical_times;
@@ -92,11 +92,11 @@
 	void _run(admitted_request p_request);
 	void _on_readiness(caller_exchange &p_exchange);
 	void _on_metrics(caller_exchange &p_exchange);
-	void _on_stall(const hold_up &p_hold_up);
+	void _on_stall(const process_stall &p_hold_up);
 	bool _is_catching_up() const;
 	duration _get_idle_limit() const;
 	void _on_slow_reader(const slow_reader &p_reader);
-	void _on_post_close_input(const crossed_end &p_crossed);
+	void _on_post_close_input(const post_close_input &p_crossed);
 	void _tick();
 	void _enter(stop_phase p_phase, const char *p_name);
 	void _advance_stop();
@@ -125,7 +125,7 @@
 	void note_reload(const std::string &p_outcome);
 
 	/** Number of works, of this and other nodes, that this node currently dispatches. */
-	std::size_t get_handed_work() const { return _dispatcher.get_accepted_count(); }
+	std::size_t get_accepted_work_count() const { return _dispatcher.get_accepted_count(); }
 
 	/** Whether the node accepts requests, as reported at its readiness address. */
 	bool is_ready() const { return _is_ready(); }
--- a/main/gateway/gateway_context.cpp
+++ b/main/gateway/gateway_context.cpp
@@ -21,7 +21,7 @@
 		zones(settings.zone),
 		log(p_loop),
 		store(p_loop, channels, settings.store_address) {
-	channels.set_on_heard([this](const std::string &p_zone) { zones.on_endpoint_heard(p_zone, event_loop::now()); });
+	channels.set_on_contact([this](const std::string &p_zone) { zones.on_endpoint_contact(p_zone, event_loop::now()); });
 }
 
 } // namespace calicoscale
--- a/main/gateway/gateway_context.h
+++ b/main/gateway/gateway_context.h
@@ -16,7 +16,7 @@
 #include "main/gateway/gateway_settings.h"
 #include "main/node_metrics.h"
 #include "platform/store_client.h"
-#include "servers/gateway/zone_reach.h"
+#include "servers/gateway/zone_reachability.h"
 
 namespace calicoscale {
 
@@ -27,7 +27,7 @@
 	std::uint64_t incarnation;
 	random_source random;
 	endpoint_channels channels;
-	zone_reach zones;
+	zone_reachability zones;
 	event_log log;
 	store_client store;
 	node_metrics metrics;
--- a/main/gateway/gateway_fleet.cpp
+++ b/main/gateway/gateway_fleet.cpp
@@ -48,10 +48,10 @@
 		_configuration(p_configuration),
 		_endpoints(p_endpoints),
 		_evacuations(p_evacuations),
-		_link(p_context.loop, p_context.settings.link_address, link_identity{ p_context.settings.vm, p_context.incarnation, p_context.settings.fleet_key, MAX_BACK_OFF, p_context.settings.mechanisms.has(mechanism::ASKED_LISTS) }),
+		_link(p_context.loop, p_context.settings.link_address, link_identity{ p_context.settings.vm, p_context.incarnation, p_context.settings.fleet_key, MAX_BACK_OFF, p_context.settings.mechanisms.has(mechanism::REQUESTED_LISTS) }),
 		_members(member_digest{ p_context.settings.vm, p_context.incarnation, 0, p_context.settings.zone, p_context.settings.region, _link.get_address(), network_address(), false, false, 0, {}, p_context.settings.cores }),
 		_overlay(p_context.settings.vm, p_context.settings.zone),
-		_store(p_context, p_configuration, p_endpoints, _link, store_sharing_hooks{ [this](const std::string &p_vm) { return is_heard(p_vm); }, [this](const std::string &p_vm) { return _is_in_own_zone(p_vm); }, [this] { _collect_updates(); } }),
+		_store(p_context, p_configuration, p_endpoints, _link, store_sharing_hooks{ [this](const std::string &p_vm) { return is_responsive(p_vm); }, [this](const std::string &p_vm) { return _is_in_own_zone(p_vm); }, [this] { _collect_updates(); } }),
 		_bootstrap(p_configuration, p_endpoints, _link, p_context.settings.link_bytes),
 		_heartbeat_timer(p_context.loop, [this] { _send_due_heartbeats(); }),
 		_watch_timer(p_context.loop, [this] { _watch(); }) {
@@ -59,8 +59,8 @@
 	_link.link_up().connect([this](const std::string &p_vm) { _on_link_up(p_vm); });
 	_link.link_down().connect([this](const std::string &p_vm) { _on_link_down(p_vm); });
 	_link.endpoints_declined().connect([this](const std::string &) { _request_list(); });
-	_configuration.changed().connect([this] { _send_heartbeats(beat_scope::CLOSE); });
-	_evacuations.changed().connect([this](const evacuation_change &) { _send_heartbeats(beat_scope::CLOSE); });
+	_configuration.changed().connect([this] { _send_heartbeats(heartbeat_scope::CLOSE); });
+	_evacuations.changed().connect([this](const evacuation_change &) { _send_heartbeats(heartbeat_scope::CLOSE); });
 }
 
 void gateway_fleet::start() {
@@ -75,7 +75,7 @@
 	}
 	_dispatchers_logged = std::move(nodes);
 	const std::size_t heard = get_live_nodes().size() - (_leaving ? 0 : 1);
-	_context.log.write(log_line("dispatchers").add("count", static_cast<long long>(_dispatchers_logged.size())).add("self", contains(_dispatchers_logged, get_vm()) ? "yes" : "no").add("is_hub", _plan.is_hub ? "yes" : "no").add("known", static_cast<long long>(_members.get_members().size())).add("heard", static_cast<long long>(heard)).add("links", static_cast<long long>(_link.get_linked().size())).add("relies_on", get_relied_on()).add("nodes", join(_dispatchers_logged)));
+	_context.log.write(log_line("dispatchers").add("count", static_cast<long long>(_dispatchers_logged.size())).add("self", contains(_dispatchers_logged, get_vm()) ? "yes" : "no").add("is_hub", _plan.is_hub ? "yes" : "no").add("known", static_cast<long long>(_members.get_members().size())).add("heard", static_cast<long long>(heard)).add("links", static_cast<long long>(_link.get_linked().size())).add("relies_on", get_followed_hub()).add("nodes", join(_dispatchers_logged)));
 }
 
 void gateway_fleet::_watch() {
@@ -86,7 +86,7 @@
 	}
 	_context.zones.check(event_loop::now());
 	if (_knows_hubs) {
-		_set_unreachable_zones(_context.zones.get_unreached());
+		_set_unreachable_zones(_context.zones.get_unreachable());
 	}
 }
 
@@ -106,14 +106,14 @@
 	}
 	_unreachable_zones = std::move(p_zones);
 	if (_plan.is_hub) {
-		_send_heartbeats(beat_scope::CLOSE);
+		_send_heartbeats(heartbeat_scope::CLOSE);
 	}
 	_update_liveness();
 	_reach_changed.emit(_unreachable_zones);
 }
 
 bool gateway_fleet::_is_responsive(const std::string &p_vm, instant p_now) const {
-	if (!_contacts.is_heard(p_vm, p_now) || !_link.is_linked(p_vm) || _reported.is_lost(p_vm)) {
+	if (!_contacts.is_responsive(p_vm, p_now) || !_link.is_linked(p_vm) || _reported.is_lost(p_vm)) {
 		return false;
 	}
 	const member *peer = _members.find(p_vm);
@@ -141,7 +141,7 @@
 void gateway_fleet::set_ready(bool p_ready) {
 	if (p_ready != _ready) {
 		_ready = p_ready;
-		_send_heartbeats(beat_scope::CLOSE);
+		_send_heartbeats(heartbeat_scope::CLOSE);
 	}
 }
 
@@ -159,7 +159,7 @@
 		}
 	}
 	if (_context.settings.mechanisms.has(mechanism::DISPATCH_BY_SIZE)) {
-		nodes = keep_larger(std::move(nodes));
+		nodes = select_large_nodes(std::move(nodes));
 	}
 	std::vector<std::string> names;
 	names.reserve(nodes.size());
@@ -272,9 +272,9 @@
 	std::erase_if(_kept_until, [now](const auto &p_entry) { return p_entry.second < now; });
 	_plan_links();
 	_store.use_names(_plan.is_hub);
-	_endpoints.drop_told();
+	_endpoints.drop_reported_removals();
 	_collect_updates();
-	_send_heartbeats(beat_scope::DUE);
+	_send_heartbeats(heartbeat_scope::DUE);
 	_update_liveness();
 	_request_list();
 	_heartbeat_timer.set(peer_contacts::get_interval(true));
@@ -302,7 +302,7 @@
 	if (_plan.is_hub && !_knows_hubs && _plan.is_settled && now - _hub_since >= HUB_DISCOVERY_TIME) {
 		_knows_hubs = true;
 		_context.log.write(log_line("hubs_known").add("zone", _context.settings.zone).add("known", static_cast<long long>(nodes.size())).add("links", static_cast<long long>(_link.get_linked().size())).add("hubs", join(_plan.hubs)));
-		for (const beat_part &part : _parts) {
+		for (const heartbeat_section &part : _parts) {
 			part.on_hubs_known();
 		}
 	}
@@ -333,17 +333,17 @@
 }
 
 void gateway_fleet::_request_list() {
-	if (!_bootstrap.needs_list() || !_context.settings.mechanisms.has(mechanism::ASKED_LISTS)) {
+	if (!_bootstrap.needs_list() || !_context.settings.mechanisms.has(mechanism::REQUESTED_LISTS)) {
 		return;
 	}
-	std::vector<list_teller> list_sources;
+	std::vector<list_source> list_sources;
 	for (const std::string &vm : _link.get_linked()) {
 		const member *peer = _members.find(vm);
 		if (peer != nullptr && peer->digest.ready && !peer->digest.leaving) {
-			list_sources.push_back(list_teller{ vm, peer->digest.zone == _context.settings.zone, peer->digest.cores });
+			list_sources.push_back(list_source{ vm, peer->digest.zone == _context.settings.zone, peer->digest.cores });
 		}
 	}
-	_bootstrap.ask_for_list(list_sources, _context.random.get_unit());
+	_bootstrap.request_list(list_sources, _context.random.get_unit());
 }
 
 bool gateway_fleet::_is_in_own_zone(const std::string &p_vm) const {
@@ -353,14 +353,14 @@
 
 void gateway_fleet::_collect_updates() {
 	const instant now = event_loop::now();
-	for (const endpoint_identity &endpoint : _endpoints.get_directory().take_news()) {
-		_contacts.add_news(endpoint_news{ endpoint, false }, now);
+	for (const endpoint_identity &endpoint : _endpoints.get_directory().take_updates()) {
+		_contacts.add_update(endpoint_update{ endpoint, false }, now);
 	}
-	for (const endpoint_identity &endpoint : _endpoints.get_directory().take_gone()) {
-		_contacts.add_news(endpoint_news{ endpoint, true }, now);
+	for (const endpoint_identity &endpoint : _endpoints.get_directory().take_removed()) {
+		_contacts.add_update(endpoint_update{ endpoint, true }, now);
 	}
-	const auto is_back = [this](const endpoint_news &p_update) { return p_update.is_gone && _endpoints.get_directory().contains_start(p_update.endpoint); };
-	_contacts.forget_news(is_back, now);
+	const auto is_back = [this](const endpoint_update &p_update) { return p_update.is_gone && _endpoints.get_directory().contains_start(p_update.endpoint); };
+	_contacts.expire_updates(is_back, now);
 }
 
 gateway_fleet::peer_role gateway_fleet::_get_role(const std::string &p_vm, instant p_now) const {
@@ -371,32 +371,32 @@
 	peer_role role;
 	role.is_mesh = _plan.is_hub && is_hub_peer;
 	role.is_follower = relies_on_me || (_plan.is_hub && is_own_zone && !is_hub_peer);
-	role.is_relied_on = p_vm == get_relied_on();
+	role.is_relied_on = p_vm == get_followed_hub();
 	const bool is_wanted = contains(_plan.wanted, p_vm) || _kept_until.contains(p_vm) || _contacts.is_wanted(p_vm, p_now);
 	role.is_needed = role.is_mesh || role.is_follower || role.is_relied_on || is_wanted || _is_starting;
 	role.is_close = role.is_mesh || relies_on_me || role.is_relied_on || _is_starting;
-	role.hears_news = role.is_mesh || is_own_zone;
+	role.receives_updates = role.is_mesh || is_own_zone;
 	return role;
 }
 
-gateway_fleet::beat_texts gateway_fleet::_make_texts(bool p_with_relayed_digests) {
+gateway_fleet::heartbeat_drafts gateway_fleet::_make_texts(bool p_with_relayed_digests) {
 	_members.update_self(_ready, _leaving, _configuration.get_version(), {});
-	beat_texts texts;
+	heartbeat_drafts texts;
 	std::vector<member_digest> digests = p_with_relayed_digests ? _members.make_heartbeat() : _members.make_own_heartbeat();
 	texts.plain.digests = { digests.front() };
-	texts.rumours.assign(digests.begin() + 1, digests.end());
+	texts.relayed_digests.assign(digests.begin() + 1, digests.end());
 	texts.plain.follows = _configuration.is_following();
 	texts.plain.evacuations = _evacuations.get_state();
-	const beat_sender sender{ _plan.is_hub, _knows_hubs };
-	for (const beat_part &part : _parts) {
-		part.write(beat_peer::OTHER, sender, texts.plain);
+	const heartbeat_sender sender{ _plan.is_hub, _knows_hubs };
+	for (const heartbeat_section &part : _parts) {
+		part.write(heartbeat_peer::OTHER, sender, texts.plain);
 	}
 	texts.to_hub = texts.plain;
 	texts.to_hub.zone_nodes = _plan.is_hub ? _count_zone() : 0;
 	texts.to_follower = texts.plain;
-	for (const beat_part &part : _parts) {
-		part.write(beat_peer::HUB, sender, texts.to_hub);
-		part.write(beat_peer::FOLLOWER, sender, texts.to_follower);
+	for (const heartbeat_section &part : _parts) {
+		part.write(heartbeat_peer::HUB, sender, texts.to_hub);
+		part.write(heartbeat_peer::FOLLOWER, sender, texts.to_follower);
 	}
 	// A hub that has just started has contact with only some of the others. If it reported just these, its followers would assume that
 	// the others had failed.
@@ -410,7 +410,7 @@
 	return texts;
 }
 
-void gateway_fleet::_add_members(const std::string &p_vm, const beat_texts &p_texts, heartbeat_message &r_message) {
+void gateway_fleet::_add_members(const std::string &p_vm, const heartbeat_drafts &p_texts, heartbeat_message &r_message) {
 	const member *peer = _members.find(p_vm);
 	if (peer == nullptr) {
 		return;
@@ -423,10 +423,10 @@
 	for (const std::string &vm : _feed.take(p_vm, is_of_use)) {
 		r_message.digests.push_back(_members.find(vm)->digest);
 	}
-	r_message.digests.insert(r_message.digests.end(), p_texts.rumours.begin(), p_texts.rumours.end());
+	r_message.digests.insert(r_message.digests.end(), p_texts.relayed_digests.begin(), p_texts.relayed_digests.end());
 }
 
-void gateway_fleet::_send_heartbeat(const std::string &p_vm, const peer_role &p_role, const beat_texts &p_texts) {
+void gateway_fleet::_send_heartbeat(const std::string &p_vm, const peer_role &p_role, const heartbeat_drafts &p_texts) {
 	heartbeat_message message = p_texts.plain;
 	if (p_role.is_mesh || p_role.is_relied_on) {
 		message = p_texts.to_hub;
@@ -434,7 +434,7 @@
 		message = p_texts.to_follower;
 	}
 	if (p_role.is_relied_on) {
-		for (const beat_part &part : _parts) {
+		for (const heartbeat_section &part : _parts) {
 			part.on_told_hub(message);
 		}
 	}
@@ -443,7 +443,7 @@
 	message.wants_link = p_role.is_relied_on || contains(_plan.wanted, p_vm) || _kept_until.contains(p_vm) || _is_starting;
 	message.next_in = peer_contacts::get_interval(p_role.is_close);
 	_add_members(p_vm, p_texts, message);
-	for (const endpoint_news &update : _contacts.on_sent(p_vm, p_role.is_close, p_role.hears_news, event_loop::now())) {
+	for (const endpoint_update &update : _contacts.on_sent(p_vm, p_role.is_close, p_role.receives_updates, event_loop::now())) {
 		if (update.is_gone) {
 			message.gone.push_back(update.endpoint);
 		} else {
@@ -455,14 +455,14 @@
 	_link.send(p_vm, message);
 }
 
-void gateway_fleet::_send_heartbeats(beat_scope p_scope) {
+void gateway_fleet::_send_heartbeats(heartbeat_scope p_scope) {
 	const instant now = event_loop::now();
-	const bool has_rumours = p_scope == beat_scope::DUE && _heartbeat_count++ % HEARTBEATS_PER_RELAY == 0;
-	const beat_texts texts = _make_texts(has_rumours);
+	const bool has_rumours = p_scope == heartbeat_scope::DUE && _heartbeat_count++ % HEARTBEATS_PER_RELAY == 0;
+	const heartbeat_drafts texts = _make_texts(has_rumours);
 	for (const std::string &vm : _link.get_linked()) {
 		const peer_role role = _get_role(vm, now);
-		const bool is_due = role.is_needed && _contacts.is_due(vm, role.is_close, role.hears_news, now);
-		if (p_scope == beat_scope::ALL || (p_scope == beat_scope::CLOSE && role.is_close) || (p_scope == beat_scope::DUE && is_due)) {
+		const bool is_due = role.is_needed && _contacts.is_due(vm, role.is_close, role.receives_updates, now);
+		if (p_scope == heartbeat_scope::ALL || (p_scope == heartbeat_scope::CLOSE && role.is_close) || (p_scope == heartbeat_scope::DUE && is_due)) {
 			_send_heartbeat(vm, role, texts);
 		}
 	}
@@ -475,14 +475,14 @@
 	}
 	_feed.restart(p_vm);
 	_greeted.erase(p_vm);
-	_reported.on_heard(p_vm);
+	_reported.on_contact(p_vm);
 	_send_heartbeat(p_vm, _get_role(p_vm, event_loop::now()), _make_texts(false));
 }
 
 void gateway_fleet::_on_link_down(const std::string &p_vm) {
 	_reported.on_link_down(p_vm, event_loop::now());
 	_set_failed(p_vm, peer_loss::LINK_BROKEN);
-	if (p_vm == get_relied_on() || _plan.is_hub) {
+	if (p_vm == get_followed_hub() || _plan.is_hub) {
 		_plan_links();
 	}
 }
@@ -503,7 +503,7 @@
 	was_live = false;
 	const bool is_needed = _get_role(p_vm, event_loop::now()).is_needed;
 	_context.log.write(log_line("peer_lost").add("vm", p_vm).add("leaving", _is_leaving(p_vm) ? "yes" : "no").add("cause", get_name(p_cause)).add("needed", is_needed ? "yes" : "no"));
-	for (const beat_part &part : _parts) {
+	for (const heartbeat_section &part : _parts) {
 		part.on_lost(p_vm);
 	}
 	_zone_nodes.erase(p_vm);
@@ -526,7 +526,7 @@
 			_set_failed(vm, peer_loss::SILENT);
 		}
 	}
-	for (const std::string &vm : _contacts.get_dead(now)) {
+	for (const std::string &vm : _contacts.get_silent_peers(now)) {
 		if (_link.is_linked(vm)) {
 			_link.drop(vm);
 		}
@@ -541,7 +541,7 @@
 		const member *peer = _members.find(digest.vm);
 		were_hubs[digest.vm] = peer != nullptr && peer->digest.hub;
 	}
-	_members.take_digests(p_message.digests, event_loop::now());
+	_members.merge_digests(p_message.digests, event_loop::now());
 	for (const auto &[vm, was_hub] : were_hubs) {
 		const member *peer = _members.find(vm);
 		if (peer == nullptr) {
@@ -563,7 +563,7 @@
 		_endpoints.mark_leaving(endpoint_identity{ mark.vm, mark.incarnation }, "peer/" + p_vm);
 	}
 	for (const endpoint_identity &endpoint : p_message.gone) {
-		_endpoints.mark_gone(endpoint, p_vm);
+		_endpoints.mark_removed(endpoint, p_vm);
 	}
 }
 
@@ -571,13 +571,13 @@
 	if (p_message.zone_nodes > 0) {
 		_zone_nodes[p_vm] = p_message.zone_nodes;
 	}
-	if (!p_message.is_total || p_vm != get_relied_on()) {
+	if (!p_message.is_total || p_vm != get_followed_hub()) {
 		return;
 	}
 	for (const std::string &vm : _reported.take(p_message.dispatchers, p_message.fleet_nodes)) {
 		if (vm != get_vm() && !_is_leaving(vm) && !p_message.dispatchers.empty()) {
 			_reported.set_lost(vm);
-			_set_failed(vm, peer_loss::TOLD_BY_HUB);
+			_set_failed(vm, peer_loss::REPORTED_BY_HUB);
 		}
 	}
 	_set_unreachable_zones(std::set<std::string>(p_message.unreached_zones.begin(), p_message.unreached_zones.end()));
@@ -585,9 +585,9 @@
 
 void gateway_fleet::_on_heartbeat(const std::string &p_vm, const heartbeat_message &p_message) {
 	const instant now = event_loop::now();
-	_contacts.on_heard(p_vm, p_message.next_in, now);
-	_contacts.on_needs(p_vm, p_message.wants_link, p_message.relies_on_you, now);
-	_reported.on_heard(p_vm);
+	_contacts.on_contact(p_vm, p_message.next_in, now);
+	_contacts.on_needs_reported(p_vm, p_message.wants_link, p_message.relies_on_you, now);
+	_reported.on_contact(p_vm);
 	_merge_members(p_message);
 	if (!_plan.is_hub && p_message.relies_on_you) {
 		_plan_links();
@@ -595,8 +595,8 @@
 	_evacuations.offer(p_message.evacuations, p_vm);
 	_apply_endpoint_updates(p_vm, p_message);
 	const member *known = _members.find(p_vm);
-	for (const beat_part &part : _parts) {
-		part.read(beat_source{ p_vm, _plan.is_hub && known != nullptr && known->digest.hub, p_vm == get_relied_on() }, p_message);
+	for (const heartbeat_section &part : _parts) {
+		part.read(heartbeat_source{ p_vm, _plan.is_hub && known != nullptr && known->digest.hub, p_vm == get_followed_hub() }, p_message);
 	}
 	_apply_fleet_state(p_vm, p_message);
 	const member *peer = _members.find(p_vm);
@@ -607,19 +607,19 @@
 	}
 	_request_list();
 	if (peer != nullptr) {
-		_context.zones.on_node_heard(peer->digest.zone, now);
+		_context.zones.on_node_contact(peer->digest.zone, now);
 		if (_plan.is_hub || _is_starting) {
-			_bootstrap.tell_if_unready(peer->digest);
+			_bootstrap.send_if_unready(peer->digest);
 		}
 		if (_plan.is_hub || _is_starting || _is_in_own_zone(p_vm)) {
-			_bootstrap.ask_if_newer(peer->digest);
+			_bootstrap.request_if_newer(peer->digest);
 		}
 	}
 }
 
 void gateway_fleet::announce_leaving() {
 	_leaving = true;
-	_send_heartbeats(beat_scope::ALL);
+	_send_heartbeats(heartbeat_scope::ALL);
 }
 
 } // namespace calicoscale
--- a/main/gateway/gateway_fleet.h
+++ b/main/gateway/gateway_fleet.h
@@ -10,16 +10,16 @@
 #define GATEWAY_FLEET_H
 
 #include "drivers/node_link.h"
-#include "main/gateway/beat_part.h"
 #include "main/gateway/evacuation_follower.h"
-#include "main/gateway/newcomer_help.h"
+#include "main/gateway/heartbeat_section.h"
+#include "main/gateway/peer_bootstrap.h"
 #include "main/gateway/store_sharing.h"
 #include "servers/membership/digest_feed.h"
 #include "servers/membership/fleet_overlay.h"
 #include "servers/membership/member_table.h"
 #include "servers/membership/peer_contacts.h"
 #include "servers/membership/peer_loss.h"
-#include "servers/membership/told_fleet.h"
+#include "servers/membership/reported_fleet.h"
 
 #include <map>
 #include <set>
@@ -35,7 +35,7 @@
  */
 class gateway_fleet {
 	/** Recipients of a round of heartbeats. */
-	enum class beat_scope {
+	enum class heartbeat_scope {
 		DUE, ///< Peers whose next heartbeat is due.
 		CLOSE, ///< Peers that follow this node or that it follows, whether their heartbeat is due or not.
 		ALL, ///< All linked peers.
@@ -48,22 +48,22 @@
 		bool is_relied_on = false; ///< This node follows the peer.
 		bool is_close = false; ///< The peer receives heartbeats at the shorter interval.
 		bool is_needed = false; ///< One of the two nodes needs the link.
-		bool hears_news = false; ///< The peer receives updates of endpoints.
+		bool receives_updates = false; ///< The peer receives updates of endpoints.
 	};
 
 	/** Contents of one round of heartbeats, by the role of the receiver. */
-	struct beat_texts {
+	struct heartbeat_drafts {
 		heartbeat_message plain; ///< For peers that keep a link only for stage work.
 		heartbeat_message to_hub; ///< For other hubs, or for the hub that this node follows.
 		heartbeat_message to_follower;
-		std::vector<member_digest> rumours;
+		std::vector<member_digest> relayed_digests;
 	};
 
 	gateway_context &_context;
 	configuration_follower &_configuration;
 	endpoint_follower &_endpoints;
 	evacuation_follower &_evacuations;
-	std::vector<beat_part> _parts;
+	std::vector<heartbeat_section> _parts;
 	node_link _link;
 	member_table _members;
 	peer_contacts _contacts;
@@ -71,8 +71,8 @@
 	fleet_overlay _overlay;
 	overlay_plan _plan;
 	store_sharing _store;
-	newcomer_help _bootstrap;
-	told_fleet _reported;
+	peer_bootstrap _bootstrap;
+	reported_fleet _reported;
 	std::map<std::string, bool> _was_live;
 	std::map<std::string, std::uint32_t> _zone_nodes; ///< Number of live nodes in a hub's zone, by hub.
 	std::map<std::string, instant> _kept_until; ///< Nodes to which a link is kept for stage work, with the time until which it is kept.
@@ -97,10 +97,10 @@
 	void _log_dispatchers();
 	void _set_unreachable_zones(std::set<std::string> p_zones);
 	peer_role _get_role(const std::string &p_vm, instant p_now) const;
-	beat_texts _make_texts(bool p_with_relayed_digests);
-	void _add_members(const std::string &p_vm, const beat_texts &p_texts, heartbeat_message &r_message);
-	void _send_heartbeat(const std::string &p_vm, const peer_role &p_role, const beat_texts &p_texts);
-	void _send_heartbeats(beat_scope p_scope);
+	heartbeat_drafts _make_texts(bool p_with_relayed_digests);
+	void _add_members(const std::string &p_vm, const heartbeat_drafts &p_texts, heartbeat_message &r_message);
+	void _send_heartbeat(const std::string &p_vm, const peer_role &p_role, const heartbeat_drafts &p_texts);
+	void _send_heartbeats(heartbeat_scope p_scope);
 	void _plan_links();
 	void _dial();
 	void _request_list();
@@ -128,10 +128,10 @@
 	void start();
 
 	/** Adds a section to the heartbeats. Objects that its hooks use must outlive this object. */
-	void add_part(beat_part p_part) { _parts.push_back(std::move(p_part)); }
+	void add_part(heartbeat_section p_part) { _parts.push_back(std::move(p_part)); }
 
 	/** Sends heartbeats immediately to the peers that follow this node and to those that it follows. */
-	void beat_now() { _send_heartbeats(beat_scope::CLOSE); }
+	void send_heartbeats_now() { _send_heartbeats(heartbeat_scope::CLOSE); }
 
 	/** Sets whether this node accepts requests, which is reported to peers. */
 	void set_ready(bool p_ready);
@@ -155,7 +155,7 @@
 	std::size_t get_live_count() const;
 
 	/** Extends the deadlines of peers by a process stall of this node, so that they are not assumed to have failed because of it. */
-	void on_held_up(duration p_absence) { _contacts.forgive(p_absence); }
+	void on_stall(duration p_absence) { _contacts.extend_deadlines(p_absence); }
 
 	/** Nodes of this node's availability zone that are not stopping, including this one and those that are currently silent. */
 	std::vector<std::string> get_zone_nodes() const;
@@ -173,23 +173,23 @@
 	std::vector<std::string> get_followers() const { return _contacts.get_followers(event_loop::now()); }
 
 	/** The hub that this node follows. Empty if this node is a hub. */
-	std::string get_relied_on() const { return _plan.is_hub || _store.is_reader() ? "" : _store.get_reader(); }
+	std::string get_followed_hub() const { return _plan.is_hub || _store.is_reader() ? "" : _store.get_reader(); }
 
 	/** Whether a node is responsive. Includes nodes that are stopping. */
-	bool is_heard(const std::string &p_vm) const { return _is_responsive(p_vm, event_loop::now()); }
+	bool is_responsive(const std::string &p_vm) const { return _is_responsive(p_vm, event_loop::now()); }
 
 	node_link &get_link() { return _link; }
 	const node_link &get_link() const { return _link; }
 	const std::string &get_vm() const { return _context.settings.vm; }
 
 	/** Zones that are unreachable from this node. */
-	const std::set<std::string> &get_unreached_zones() const { return _unreachable_zones; }
+	const std::set<std::string> &get_unreachable_zones() const { return _unreachable_zones; }
 
 	/** Emitted with the unreachable zones when they change. */
-	sigc::signal<void(const std::set<std::string> &)> &reach_changed() { return _reach_changed; }
+	sigc::signal<void(const std::set<std::string> &)> &reachability_changed() { return _reach_changed; }
 
 	/** Emitted when a node has become silent. A node that is stopping is not reported before that. */
-	sigc::signal<void(const std::string &)> &peer_lost() { return _peer_lost; }
+	sigc::signal<void(const std::string &)> &peer_failed() { return _peer_lost; }
 };
 
 } // namespace calicoscale
--- a/main/gateway/gateway_request.cpp
+++ b/main/gateway/gateway_request.cpp
@@ -39,7 +39,7 @@
 	if (p_request.route->repeats != repeat_rule::STREAM) {
 		return expected_answer::PLAIN;
 	}
-	return p_request.facts.has_event_id ? expected_answer::REST_OF_STREAM : expected_answer::STREAM;
+	return p_request.facts.has_event_id ? expected_answer::STREAM_REMAINDER : expected_answer::STREAM;
 }
 
 reason get_reason(answer_end p_end) {
@@ -76,49 +76,49 @@
 	if (_run) {
 		_services.guard.get_rollouts().on_ended(*_run);
 	}
-	_request.exchange->set_on_gone(nullptr);
+	_request.exchange->set_on_disconnect(nullptr);
 	_request.exchange->set_on_flow(nullptr);
 }
 
 void gateway_request::start() {
-	_request.exchange->set_on_gone([this] { _on_caller_disconnected(); });
+	_request.exchange->set_on_disconnect([this] { _on_caller_disconnected(); });
 	_request.exchange->set_on_flow([this](bool p_may_send) { _services.context.channels.set_reading(_exchange, p_may_send); });
 	_give_up_timer.set_at(_give_up_at);
-	_queue_position = _services.guard.get_line().join(_request.service);
+	_queue_position = _services.guard.get_queue().join(_request.service);
 	_services.repeats[_request.service].on_request(_services.context.settings.retries, _started);
 	_services.context.log.write_request(log_line("request_admitted").add("request", _request.facts.attempt).add("route", _request.route->name).add("customer", _request.customer == nullptr ? "" : _request.customer->name).add("priority", static_cast<long long>(get_priority(_request))).add("left_ms", _deadline - _started).add("predicted_ms", _request.predicted).add("rested_ms", _request.exchange->rested).add("earlier", static_cast<long long>(_request.exchange->earlier)).add("version", static_cast<long long>(_request.configuration->version)));
 	if (_stages.is_complete()) {
 		_send();
 		return;
 	}
-	_request_permit([this](send_care p_mode) { _begin_stages(p_mode); });
+	_request_permit([this](send_mode p_mode) { _begin_stages(p_mode); });
 }
 
-void gateway_request::_request_permit(std::function<void(send_care)> p_on_granted) {
-	_permit.ask(permit_hooks{ std::move(p_on_granted), [this](duration p_retry_after) { _refuse(reason::ENDS_ENDPOINTS, p_retry_after); } });
+void gateway_request::_request_permit(std::function<void(send_mode)> p_on_granted) {
+	_permit.ask(permit_hooks{ std::move(p_on_granted), [this](duration p_retry_after) { _refuse(reason::CRASHES_ENDPOINTS, p_retry_after); } });
 }
 
-void gateway_request::_begin_stages(send_care p_mode) {
+void gateway_request::_begin_stages(send_mode p_mode) {
 	_permit.keep();
-	_stages.begin(p_mode != send_care::NONE);
+	_stages.begin(p_mode != send_mode::NONE);
 }
 
 bool gateway_request::_may_repeat_run() const {
 	const gateway_route &route = *_request.route;
 	const bool is_safe = route.repeats == repeat_rule::REPEATABLE || (route.repeats == repeat_rule::STREAM && route.is_resumable);
-	return is_safe && _runs < route.most_endpoints;
+	return is_safe && _runs < route.max_endpoints;
 }
 
 bool gateway_request::_may_resume() const {
 	const event_splitter &events = _answer.get_events();
-	const bool can_go_on = _request.route->is_resumable && !events.get_last_id().empty() && !events.has_handed_part() && _resumes < MAX_RESUMES;
-	return can_go_on && _runs < std::max(_request.route->most_endpoints, 1);
+	const bool can_go_on = _request.route->is_resumable && !events.get_last_id().empty() && !events.has_returned_part() && _resumes < MAX_RESUMES;
+	return can_go_on && _runs < std::max(_request.route->max_endpoints, 1);
 }
 
 bool gateway_request::_may_continue_elsewhere() const {
 	const bool has_begun = _answer_started || !_answer.get_events().get_last_id().empty();
 	// The aborted run counts as a run.
-	return _runs + 1 < _request.route->most_endpoints && (has_begun ? _may_resume() : _may_repeat_run());
+	return _runs + 1 < _request.route->max_endpoints && (has_begun ? _may_resume() : _may_repeat_run());
 }
 
 bool gateway_request::_try_repeat_budget() {
@@ -134,14 +134,14 @@
 		_give_up(reason::DEADLINE_PASSED);
 		return;
 	}
-	_request_permit([this](send_care p_mode) { _send_with(p_mode); });
+	_request_permit([this](send_mode p_mode) { _send_with(p_mode); });
 }
 
 void gateway_request::_on_no_endpoint_available() {
-	const std::size_t before = _services.guard.get_line().count_before(_request.service, _queue_position);
+	const std::size_t before = _services.guard.get_queue().count_before(_request.service, _queue_position);
 	const send_prospect prospect = _services.guard.predict(get_router(_services, _request), _choice.make(), before);
 	if (!prospect.wait || get_router(_services, _request).get_open(_choice.make()).empty()) {
-		_refuse(reason::NO_ENDPOINT, prospect.rest_left.value_or(SHORT_RETRY_AFTER));
+		_refuse(reason::NO_ENDPOINT, prospect.backoff_left.value_or(SHORT_RETRY_AFTER));
 		return;
 	}
 	const duration wait = *prospect.wait;
@@ -158,10 +158,10 @@
 	_retry_timer.set(std::clamp(wait, RETRY_PAUSE, LIMIT_PAUSE));
 }
 
-void gateway_request::_send_with(send_care p_mode) {
+void gateway_request::_send_with(send_mode p_mode) {
 	const instant now = event_loop::now();
 	router &choices = get_router(_services, _request);
-	const std::optional<endpoint_id> chosen = p_mode == send_care::QUIETEST ? _choice.choose_quietest() : _choice.choose(_stages.get_results_zone());
+	const std::optional<endpoint_id> chosen = p_mode == send_mode::QUIETEST ? _choice.choose_quietest() : _choice.choose(_stages.get_results_zone());
 	if (!chosen) {
 		_on_no_endpoint_available();
 		return;
@@ -193,7 +193,7 @@
 	request.longest_idle = _request.route->repeats == repeat_rule::REPEATABLE ? MAX_IDLE_TIME_REPEATABLE : MAX_IDLE_TIME_UNREPEATABLE;
 	_answer.restart();
 	choices.on_attempt_started(_endpoint, now);
-	_services.guard.get_line().leave(_request.service, _queue_position);
+	_services.guard.get_queue().leave(_request.service, _queue_position);
 	_services.guard.on_sent(_endpoint_identity, now);
 	_run = version_run{ _request.service, endpoint.listing.vm, endpoint.listing.version };
 	_services.guard.get_rollouts().on_started(*_run);
@@ -228,12 +228,12 @@
 }
 
 void gateway_request::_learn_first_event() {
-	duration &usual = _services.first_event_times[_request.route->name];
+	duration &typical = _services.first_event_times[_request.route->name];
 	const instant now = event_loop::now();
 	const duration elapsed = now - _sent_at;
 	_services.engine_caches.on_first_event(_endpoint_identity, _predicted, elapsed, now);
 	_services.context.log.write_request(log_line("first_event").add("request", _request.facts.attempt).add("endpoint", _endpoint_identity.vm).add("took_ms", elapsed).add("wait_ms", _predicted.wait).add("reading_ms", _predicted.reading).add("unread_tokens", static_cast<long long>(_predicted.unread)));
-	usual = usual == duration::zero() ? elapsed : usual + duration(static_cast<duration::rep>(static_cast<double>((elapsed - usual).count()) * TYPICAL_TIME_WEIGHT));
+	typical = typical == duration::zero() ? elapsed : typical + duration(static_cast<duration::rep>(static_cast<double>((elapsed - typical).count()) * TYPICAL_TIME_WEIGHT));
 }
 
 void gateway_request::_observe(const outcome &p_result) {
@@ -242,10 +242,10 @@
 	observation.result = p_result;
 	observation.elapsed = now - _sent_at;
 	if (!is_engine(_request)) {
-		duration &usual = _services.usual_times[_request.service];
-		observation.usual = usual;
+		duration &typical = _services.typical_times[_request.service];
+		observation.typical = typical;
 		if (p_result.what == verdict::COMPLETED) {
-			usual = usual == duration::zero() ? observation.elapsed : usual + duration(static_cast<duration::rep>(static_cast<double>((observation.elapsed - usual).count()) * TYPICAL_TIME_WEIGHT));
+			typical = typical == duration::zero() ? observation.elapsed : typical + duration(static_cast<duration::rep>(static_cast<double>((observation.elapsed - typical).count()) * TYPICAL_TIME_WEIGHT));
 		}
 	}
 	get_router(_services, _request).on_attempt_ended(_endpoint, observation, now);
@@ -261,7 +261,7 @@
 		return;
 	}
 	rollout_service &rollouts = _services.guard.get_rollouts();
-	const bool is_answered = p_result.what != verdict::NOT_RUN && p_result.why != reason::CALLER_GONE;
+	const bool is_answered = p_result.what != verdict::NOT_RUN && p_result.why != reason::CALLER_DISCONNECTED;
 	// An endpoint that rejects an invalid request has not failed.
 	const bool has_failed = p_result.what != verdict::COMPLETED && (p_result.why != reason::ENDPOINT_ERROR || _answer.get_head().status >= http_status::FIRST_SERVER_ERROR);
 	if (is_answered) {
@@ -278,19 +278,19 @@
 	if (head.status != 0) {
 		const event_splitter &events = _answer.get_events();
 		line.add("framing", get_name(head.framing)).add("bytes", static_cast<long long>(_answer.get_byte_count()));
-		line.add("events", static_cast<long long>(events.get_event_count())).add("last_event", events.get_last_id()).add("held_bytes", static_cast<long long>(events.get_held_bytes()));
+		line.add("events", static_cast<long long>(events.get_event_count())).add("last_event", events.get_last_id()).add("held_bytes", static_cast<long long>(events.get_buffered_bytes()));
 		_services.context.metrics.count("answers_framed_by_" + std::string(get_name(head.framing)));
 	}
 	line.add("took_ms", event_loop::now() - _sent_at);
 	_services.context.log.write_request(line);
-	if (p_end == answer_end::CUT) {
+	if (p_end == answer_end::TRUNCATED) {
 		_services.context.metrics.count("answers_cut_in_good_order");
 	}
 }
 
 void gateway_request::_on_end_of_answer(channel_end p_end) {
 	const answer_end end = _answer.judge(p_end);
-	if (end == answer_end::WHOLE && _must_confirm_end()) {
+	if (end == answer_end::COMPLETE && _must_confirm_end()) {
 		_confirm_end();
 		return;
 	}
@@ -308,14 +308,14 @@
 		_services.context.log.write_request(log_line("answer_end_probed").add("request", _request.facts.attempt).add("endpoint", _endpoint_identity.vm).add("end", get_name(p_found)));
 		// The request may have been given up or sent elsewhere since the probe started.
 		if (_exchange == ended) {
-			_on_judged(p_found == probe_end::REFUSED ? answer_end::CUT : answer_end::WHOLE);
+			_on_judged(p_found == probe_end::REFUSED ? answer_end::TRUNCATED : answer_end::COMPLETE);
 		}
 	});
 }
 
 void gateway_request::_on_judged(answer_end p_end) {
 	_log_end_of_answer(p_end);
-	if (p_end == answer_end::LOST || p_end == answer_end::CUT) {
+	if (p_end == answer_end::LOST || p_end == answer_end::TRUNCATED) {
 		_record_interrupted_run();
 	}
 	_judge_end(p_end);
@@ -326,7 +326,7 @@
 	if (endpoint == nullptr) {
 		return;
 	}
-	_services.crashes.on_run_lost(lost_run{ _request.facts.attempt, make_fingerprint(get_content(_request)), _endpoint_identity, endpoint->listing.address });
+	_services.crashes.on_run_interrupted(interrupted_run{ _request.facts.attempt, make_fingerprint(get_content(_request)), _endpoint_identity, endpoint->listing.address });
 }
 
 void gateway_request::_judge_end(answer_end p_end) {
@@ -341,7 +341,7 @@
 		_on_stream_end(p_end);
 		return;
 	}
-	if (p_end != answer_end::WHOLE) {
+	if (p_end != answer_end::COMPLETE) {
 		_on_failure(get_reason(p_end));
 		return;
 	}
@@ -349,13 +349,13 @@
 }
 
 void gateway_request::_on_stream_end(answer_end p_end) {
-	if (p_end == answer_end::WHOLE && _answer.get_notes().has_seal) {
+	if (p_end == answer_end::COMPLETE && _answer.get_notes().has_seal) {
 		_observe(outcome{ verdict::COMPLETED, reason::NONE });
 		_services.crashes.on_run_done(get_content(_request));
 		if (!_answer_started) {
 			_request.exchange->start(_answer.get_head().status, get_passed_headers(_answer.get_head()));
 		}
-		_request.exchange->send(_answer.take_rest());
+		_request.exchange->send(_answer.take_remainder());
 		_request.exchange->end();
 		_finish(outcome{ verdict::COMPLETED, reason::NONE }, _answer.get_head().status);
 		return;
@@ -515,7 +515,7 @@
 	_refuse(p_reason, SHORT_RETRY_AFTER);
 }
 
-void gateway_request::on_reach_changed(const std::set<std::string> &p_unreached_zones) {
+void gateway_request::on_reachability_changed(const std::set<std::string> &p_unreached_zones) {
 	const endpoint_state *endpoint = _exchange == 0 ? nullptr : get_router(_services, _request).find(_endpoint);
 	if (endpoint == nullptr || !p_unreached_zones.contains(endpoint->listing.zone) || !_may_continue_elsewhere()) {
 		return;
@@ -534,9 +534,9 @@
 	if (_exchange != 0) {
 		_services.context.channels.cancel(_exchange);
 		_exchange = 0;
-		_observe(outcome{ verdict::MAY_HAVE_RUN, reason::CALLER_GONE });
+		_observe(outcome{ verdict::MAY_HAVE_RUN, reason::CALLER_DISCONNECTED });
 	}
-	_finish(outcome{ verdict::MAY_HAVE_RUN, reason::CALLER_GONE }, 0);
+	_finish(outcome{ verdict::MAY_HAVE_RUN, reason::CALLER_DISCONNECTED }, 0);
 }
 
 void gateway_request::_finish(const outcome &p_result, int p_status) {
@@ -545,7 +545,7 @@
 	}
 	_ended = true;
 	_permit.end();
-	_services.guard.get_line().leave(_request.service, _queue_position);
+	_services.guard.get_queue().leave(_request.service, _queue_position);
 	_give_up_timer.cancel();
 	_retry_timer.cancel();
 	_stages.end();
--- a/main/gateway/gateway_request.h
+++ b/main/gateway/gateway_request.h
@@ -11,7 +11,7 @@
 
 #include "core/verdict.h"
 #include "drivers/endpoint_probe.h"
-#include "main/gateway/endpoint_choice.h"
+#include "main/gateway/endpoint_selector.h"
 #include "main/gateway/received_answer.h"
 #include "main/gateway/request_stages.h"
 
@@ -34,7 +34,7 @@
 	instant _started;
 	instant _deadline; ///< Set by the caller.
 	instant _give_up_at; ///< The caller's deadline or the route's time-out, whichever is earlier.
-	endpoint_choice _choice;
+	endpoint_selector _choice;
 	request_stages _stages;
 	timer _give_up_timer;
 	timer _retry_timer;
@@ -46,7 +46,7 @@
 	engine_prediction _predicted;
 	instant _sent_at{};
 	send_permit _permit;
-	line_place _queue_position = 0; ///< Position in the queue of requests for the service that have not been sent yet.
+	queue_position _queue_position = 0; ///< Position in the queue of requests for the service that have not been sent yet.
 	verdict_tally _tally;
 	int _sends = 0;
 	int _runs = 0; ///< Number of sends that the endpoint may have run.
@@ -64,10 +64,10 @@
 	bool _try_repeat_budget();
 	/** Records the end of the run at the endpoint of the latest send. */
 	void _end_run(const outcome &p_result, duration p_elapsed);
-	void _request_permit(std::function<void(send_care)> p_on_granted);
-	void _begin_stages(send_care p_mode);
+	void _request_permit(std::function<void(send_mode)> p_on_granted);
+	void _begin_stages(send_mode p_mode);
 	void _send();
-	void _send_with(send_care p_mode);
+	void _send_with(send_mode p_mode);
 	/** Handles that no endpoint can be sent to now: waits if one is predicted to become available in time, otherwise refuses. */
 	void _on_no_endpoint_available();
 	void _on_head(const http_head &p_head);
@@ -105,7 +105,7 @@
 	void start();
 
 	/** Sets the unreachable zones. If the request waits for an answer from one of them, it is sent elsewhere if permitted. */
-	void on_reach_changed(const std::set<std::string> &p_unreached_zones);
+	void on_reachability_changed(const std::set<std::string> &p_unreached_zones);
 
 	/** Sends the final answer to a request whose answer has not started, as this node is about to exit. */
 	void end_for_stop();
--- a/main/gateway/gateway_settings.h
+++ b/main/gateway/gateway_settings.h
@@ -12,7 +12,7 @@
 #include "core/document_problem.h"
 #include "servers/gateway/mechanism.h"
 #include "servers/gateway/retry_window.h"
-#include "servers/rollout/rollout_course.h"
+#include "servers/rollout/rollout_schedule.h"
 #include "servers/routing/endpoint_state.h"
 
 #include <map>
--- a/main/gateway/hub_relay.h
+++ b/main/gateway/hub_relay.h
@@ -10,7 +10,7 @@
 #define HUB_RELAY_H
 
 #include "main/gateway/gateway_fleet.h"
-#include "servers/gateway/news_digest.h"
+#include "servers/gateway/update_batch.h"
 
 #include <algorithm>
 #include <functional>
@@ -22,7 +22,7 @@
 
 /**
  * A node sends its records to the hub that it follows. Hubs send each other their own records and those of their followers, and
- * send their followers the records of all nodes. The budget of news_digest limits the traffic of a node.
+ * send their followers the records of all nodes. The budget of update_batch limits the traffic of a node.
  */
 template <typename record>
 class hub_relay {
@@ -32,18 +32,18 @@
 
 private:
 	gateway_fleet &_fleet;
-	news_digest<record> _upward; ///< Pending for the other hubs, or for the hub that this node follows.
-	news_digest<record> _downward; ///< Pending for the nodes that follow this one.
+	update_batch<record> _upward; ///< Pending for the other hubs, or for the hub that this node follows.
+	update_batch<record> _downward; ///< Pending for the nodes that follow this one.
 	sender _send_to;
 	timer _timer;
 	bool _is_flush_due = false;
 
 	std::vector<std::string> _get_upward_receivers() const {
-		const std::string hub = _fleet.get_relied_on();
+		const std::string hub = _fleet.get_followed_hub();
 		return hub.empty() ? _fleet.get_other_hubs() : std::vector<std::string>{ hub };
 	}
 
-	void _send(news_digest<record> &r_digest, const std::vector<std::string> &p_receivers) {
+	void _send(update_batch<record> &r_digest, const std::vector<std::string> &p_receivers) {
 		const std::vector<record> records = r_digest.take();
 		if (records.empty()) {
 			return;
@@ -53,7 +53,7 @@
 		}
 	}
 
-	void _send_if_affordable(news_digest<record> &r_digest, const std::vector<std::string> &p_receivers, instant p_now) {
+	void _send_if_affordable(update_batch<record> &r_digest, const std::vector<std::string> &p_receivers, instant p_now) {
 		if (!r_digest.is_empty() && r_digest.try_spend(p_receivers.size(), p_now)) {
 			_send(r_digest, p_receivers);
 		}
@@ -67,7 +67,7 @@
 
 public:
 	/** @param p_empty an empty digest, copied for each direction. */
-	hub_relay(event_loop &p_loop, gateway_fleet &p_fleet, const news_digest<record> &p_empty, sender p_send_to) :
+	hub_relay(event_loop &p_loop, gateway_fleet &p_fleet, const update_batch<record> &p_empty, sender p_send_to) :
 			_fleet(p_fleet), _upward(p_empty), _downward(p_empty), _send_to(std::move(p_send_to)), _timer(p_loop, [this] { _flush(); }) {}
 
 	/** Adds a record of this node. It is sent by send_soon(). */
@@ -77,7 +77,7 @@
 	}
 
 	/** Adds records received from another node if this node is a hub, which forwards them. */
-	void add_told(const std::string &p_vm, const std::vector<record> &p_records) {
+	void add_reported(const std::string &p_vm, const std::vector<record> &p_records) {
 		if (!_fleet.is_hub()) {
 			return;
 		}
--- a/main/gateway/newcomer_help.cpp
+++ b/main/gateway/peer_bootstrap.cpp
@@ -1,12 +1,12 @@
 /*
- * calicoscale: newcomer_help.cpp
+ * calicoscale: peer_bootstrap.cpp
  * Sends peers what they lack: a newer configuration, and the endpoints while they are not ready.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#include "main/gateway/newcomer_help.h"
+#include "main/gateway/peer_bootstrap.h"
 
 namespace calicoscale {
 
@@ -21,15 +21,15 @@
 
 } // namespace
 
-newcomer_help::newcomer_help(configuration_follower &p_configuration, endpoint_follower &p_endpoints, node_link &p_link, double p_link_bytes) :
+peer_bootstrap::peer_bootstrap(configuration_follower &p_configuration, endpoint_follower &p_endpoints, node_link &p_link, double p_link_bytes) :
 		_configuration(p_configuration), _endpoints(p_endpoints), _link(p_link), _lists(p_link_bytes) {
-	_link.configuration_asked().connect([this](const std::string &p_vm, std::uint64_t p_have) { _on_configuration_requested(p_vm, p_have); });
-	_link.endpoints_asked().connect([this](const std::string &p_vm) { _on_endpoints_requested(p_vm); });
+	_link.configuration_requested().connect([this](const std::string &p_vm, std::uint64_t p_have) { _on_configuration_requested(p_vm, p_have); });
+	_link.endpoints_requested().connect([this](const std::string &p_vm) { _on_endpoints_requested(p_vm); });
 	_link.endpoints_declined().connect([this](const std::string &p_vm) { _request.on_declined(p_vm, event_loop::now()); });
-	_link.configuration_told().connect([this](const std::string &p_vm, const configuration_snapshot &p_snapshot) { _configuration.offer(p_snapshot.document, "peer/" + p_vm); });
+	_link.configuration_reported().connect([this](const std::string &p_vm, const configuration_snapshot &p_snapshot) { _configuration.offer(p_snapshot.document, "peer/" + p_vm); });
 }
 
-void newcomer_help::ask_if_newer(const member_digest &p_peer) {
+void peer_bootstrap::request_if_newer(const member_digest &p_peer) {
 	if (p_peer.configuration_version <= _configuration.get_version()) {
 		return;
 	}
@@ -44,43 +44,43 @@
 	}
 }
 
-void newcomer_help::_on_configuration_requested(const std::string &p_vm, std::uint64_t p_have) {
+void peer_bootstrap::_on_configuration_requested(const std::string &p_vm, std::uint64_t p_have) {
 	if (_configuration.get_version() > p_have) {
 		_link.send(p_vm, configuration_snapshot{ _configuration.get_version(), 0, true, "", _configuration.get_document() });
 	}
 }
 
-std::size_t newcomer_help::_get_list_bytes() const {
+std::size_t peer_bootstrap::_get_list_bytes() const {
 	return _endpoints.get_directory().get_size() * LISTING_BYTES;
 }
 
-bool newcomer_help::_send_list(const std::string &p_vm) {
-	return _link.send(p_vm, tell_endpoints_message{ _endpoints.get_directory().get_entries(), _endpoints.get_known() });
+bool peer_bootstrap::_send_list(const std::string &p_vm) {
+	return _link.send(p_vm, report_endpoints_message{ _endpoints.get_directory().get_entries(), _endpoints.get_known() });
 }
 
-void newcomer_help::tell_if_unready(const member_digest &p_peer) {
+void peer_bootstrap::send_if_unready(const member_digest &p_peer) {
 	if (p_peer.ready || p_peer.leaving || _link.asks_lists(p_peer.vm) || !_endpoints.is_loaded()) {
 		return;
 	}
-	if (_lists.try_tell(p_peer.vm, p_peer.incarnation, _get_list_bytes(), event_loop::now())) {
+	if (_lists.try_send(p_peer.vm, p_peer.incarnation, _get_list_bytes(), event_loop::now())) {
 		_send_list(p_peer.vm);
 	}
 }
 
-void newcomer_help::_on_endpoints_requested(const std::string &p_vm) {
+void peer_bootstrap::_on_endpoints_requested(const std::string &p_vm) {
 	const bool is_sent = _endpoints.is_loaded() && _lists.try_spend(_get_list_bytes(), event_loop::now()) && _send_list(p_vm);
 	if (!is_sent) {
 		_link.decline_endpoints(p_vm);
 	}
 }
 
-bool newcomer_help::needs_list() const {
+bool peer_bootstrap::needs_list() const {
 	return !_endpoints.is_loaded();
 }
 
-void newcomer_help::ask_for_list(const std::vector<list_teller> &p_sources, double p_chance) {
-	std::vector<list_teller> sources = p_sources;
-	std::erase_if(sources, [this](const list_teller &p_source) { return !_link.asks_lists(p_source.vm); });
+void peer_bootstrap::request_list(const std::vector<list_source> &p_sources, double p_chance) {
+	std::vector<list_source> sources = p_sources;
+	std::erase_if(sources, [this](const list_source &p_source) { return !_link.asks_lists(p_source.vm); });
 	const std::string vm = _request.choose(sources, p_chance, event_loop::now());
 	if (!vm.empty()) {
 		_link.ask_endpoints(vm);
--- a/main/gateway/newcomer_help.h
+++ b/main/gateway/peer_bootstrap.h
@@ -1,13 +1,13 @@
 /*
- * calicoscale: newcomer_help.h
+ * calicoscale: peer_bootstrap.h
  * Sends peers what they lack: a newer configuration, and the endpoints while they are not ready.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#ifndef NEWCOMER_HELP_H
-#define NEWCOMER_HELP_H
+#ifndef PEER_BOOTSTRAP_H
+#define PEER_BOOTSTRAP_H
 
 #include "drivers/node_link.h"
 #include "main/gateway/configuration_follower.h"
@@ -21,7 +21,7 @@
 namespace calicoscale {
 
 /** Nodes report their version of the configuration with each heartbeat. Documents and lists are sent only to nodes that lack them. */
-class newcomer_help {
+class peer_bootstrap {
 	configuration_follower &_configuration;
 	endpoint_follower &_endpoints;
 	node_link &_link;
@@ -36,21 +36,21 @@
 
 public:
 	/** @param p_link_bytes bytes a second that this node's link carries. */
-	newcomer_help(configuration_follower &p_configuration, endpoint_follower &p_endpoints, node_link &p_link, double p_link_bytes);
+	peer_bootstrap(configuration_follower &p_configuration, endpoint_follower &p_endpoints, node_link &p_link, double p_link_bytes);
 
 	/** Requests the configuration from a peer that has a higher version, at a limited rate. */
-	void ask_if_newer(const member_digest &p_peer);
+	void request_if_newer(const member_digest &p_peer);
 
 	/** Sends all endpoints, at a limited rate, to a peer that is not ready and whose version does not request them. */
-	void tell_if_unready(const member_digest &p_peer);
+	void send_if_unready(const member_digest &p_peer);
 
 	/** Whether this node has to request the endpoints from its peers, as it knows none. */
 	bool needs_list() const;
 
 	/** Requests the endpoints from one of these nodes, unless a request is open. @param p_chance see list_request. */
-	void ask_for_list(const std::vector<list_teller> &p_sources, double p_chance);
+	void request_list(const std::vector<list_source> &p_sources, double p_chance);
 };
 
 } // namespace calicoscale
 
-#endif // NEWCOMER_HELP_H
+#endif // PEER_BOOTSTRAP_H
--- a/main/gateway/pool_caller.cpp
+++ b/main/gateway/pool_caller.cpp
@@ -69,7 +69,7 @@
 		_context(p_context), _guard(p_guard), _name(std::move(p_name)), _service(parse_shard_name(_name).pool), _hooks(std::move(p_hooks)), _pool(p_context.settings.mechanisms) {
 	_pool.set_regions(p_context.settings.regions);
 	_pool.set_limit([this](const endpoint_identity &p_replica, instant p_now) {
-		return _guard.get_rollouts().may_call(_service, p_replica.vm, _pool.get_batch()) && _guard.may_send(p_replica, sender_part::WHOLE, p_now);
+		return _guard.get_rollouts().may_call(_service, p_replica.vm, _pool.get_batch()) && _guard.may_send(p_replica, sender_share::FULL, p_now);
 	});
 }
 
@@ -101,12 +101,12 @@
 	for (const work_result &result : _pool.take_ended()) {
 		_hooks.on_ended(result);
 	}
-	release(_pool.take_unwanted());
+	release(_pool.take_unneeded_results());
 }
 
-void pool_caller::set_unreached_zones(const std::set<std::string> &p_zones) {
+void pool_caller::set_unreachable_zones(const std::set<std::string> &p_zones) {
 	const instant now = event_loop::now();
-	_pool.set_unreached_zones(p_zones, [this, now] { return _try_repeat(now); });
+	_pool.set_unreachable_zones(p_zones, [this, now] { return _try_repeat(now); });
 }
 
 void pool_caller::tick() {
@@ -154,7 +154,7 @@
 		answer->did_not_run = head.did_not_run;
 		if (!head.is_other_endpoint) {
 			if (head.notice.load) {
-				_pool.on_pace_told(replica, head.notice.load->pace, event_loop::now());
+				_pool.on_load_reported(replica, head.notice.load->pace, event_loop::now());
 			}
 			_guard.on_answer(replica, head.notice, head.did_not_run || p_head.status == http_status::OK, now);
 		}
@@ -169,7 +169,7 @@
 	_guard.on_sent(p_call.replica, now);
 	_context.metrics.count("stage_calls");
 	_context.metrics.count("stage_pieces", static_cast<double>(p_call.items.size()));
-	_context.log.write_request(log_line("stage_call").add("pool", _name).add("call", static_cast<long long>(p_call.id)).add("replica", p_call.replica.vm).add("pieces", static_cast<long long>(p_call.items.size())).add("requests", list_attempts(items)).add("waiting", static_cast<long long>(_pool.get_waiting_pieces())));
+	_context.log.write_request(log_line("stage_call").add("pool", _name).add("call", static_cast<long long>(p_call.id)).add("replica", p_call.replica.vm).add("pieces", static_cast<long long>(p_call.items.size())).add("requests", list_attempts(items)).add("waiting", static_cast<long long>(_pool.get_waiting_items())));
 	_exchanges[p_call.id] = _context.channels.start(std::move(request), std::move(hooks));
 }
 
@@ -229,13 +229,13 @@
 	for (const stage_item &item : p_call.items) {
 		const stage_work *work = _pool.find_work(item.work);
 		if (work != nullptr && noted.insert(item.work).second) {
-			_hooks.on_run_lost(lost_run{ work->attempt, work->run, p_call.replica, p_call.to });
+			_hooks.on_run_interrupted(interrupted_run{ work->attempt, work->run, p_call.replica, p_call.to });
 		}
 	}
 }
 
 void pool_caller::_record_without_capacity(const stage_call &p_call, const std::vector<item_result> &p_results) {
-	const std::ptrdiff_t without_room = std::count_if(p_results.begin(), p_results.end(), [](const item_result &p_result) { return p_result.end == item_end::NO_ROOM; });
+	const std::ptrdiff_t without_room = std::count_if(p_results.begin(), p_results.end(), [](const item_result &p_result) { return p_result.end == item_end::NO_CAPACITY; });
 	if (without_room > 0) {
 		_context.metrics.count("stage_pieces_without_room", static_cast<double>(without_room));
 		_context.log.write_request(log_line("stage_call_without_room").add("pool", _name).add("call", static_cast<long long>(p_call.id)).add("replica", p_call.replica.vm).add("pieces", static_cast<long long>(p_results.size())).add("without_room", static_cast<long long>(without_room)));
@@ -248,7 +248,7 @@
 	}
 	_pool.on_released(p_handles);
 	for (const std::string &handle : p_handles) {
-		pending_release &pending = _to_release[to_string(get_maker(handle))];
+		pending_release &pending = _to_release[to_string(get_producer(handle))];
 		pending.since = pending.handles.empty() ? event_loop::now() : pending.since;
 		pending.handles.push_back(handle);
 	}
@@ -273,7 +273,7 @@
 	if (!producer) {
 		return true;
 	}
-	if (!_guard.may_send(*producer, sender_part::WHOLE, p_now)) {
+	if (!_guard.may_send(*producer, sender_share::FULL, p_now)) {
 		return false;
 	}
 	_guard.on_sent(*producer, p_now);
--- a/main/gateway/pool_caller.h
+++ b/main/gateway/pool_caller.h
@@ -25,7 +25,7 @@
 
 /** Hooks through which a pool caller notifies and queries its dispatcher. */
 struct pool_caller_hooks {
-	std::function<void(const lost_run &)> on_run_lost; ///< A replica failed while it ran items of a request.
+	std::function<void(const interrupted_run &)> on_run_interrupted; ///< A replica failed while it ran items of a request.
 	std::function<void(const work_result &)> on_ended; ///< Work has all its results, or cannot get them any more.
 	std::function<bool()> may_call; ///< Returns false while queued work must wait.
 };
@@ -85,7 +85,7 @@
 	void pump();
 
 	/** Sets the unreachable zones. Items in calls to these zones are called for elsewhere, within the limits for repeats. */
-	void set_unreached_zones(const std::set<std::string> &p_zones);
+	void set_unreachable_zones(const std::set<std::string> &p_zones);
 
 	/** Releases results that are no longer needed. Their producers are notified by later ticks. */
 	void release(const std::vector<std::string> &p_handles);
--- a/main/gateway/prompt_exchange.h
+++ b/main/gateway/prompt_sync.h
@@ -1,16 +1,16 @@
 /*
- * calicoscale: prompt_exchange.h
+ * calicoscale: prompt_sync.h
  * Announces to other nodes, through the hubs, which prompts were sent to which engines.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#ifndef PROMPT_EXCHANGE_H
-#define PROMPT_EXCHANGE_H
+#ifndef PROMPT_SYNC_H
+#define PROMPT_SYNC_H
 
 #include "main/gateway/hub_relay.h"
-#include "servers/gateway/told_prompt.h"
+#include "servers/gateway/prompt_record.h"
 
 #include <string>
 #include <vector>
@@ -18,18 +18,18 @@
 namespace calicoscale {
 
 /** Updates the view of the engines' caches with the prompts that all nodes send. */
-class prompt_exchange {
+class prompt_sync {
 	gateway_context &_context;
 	gateway_fleet &_fleet;
 	engine_view &_engines;
 	std::uint32_t _own_code;
-	hub_relay<told_prompt> _relay;
+	hub_relay<prompt_record> _relay;
 
-	void _on_reported(const std::string &p_vm, const tell_prompts_message &p_message);
-	void _send(const std::string &p_vm, const std::vector<told_prompt> &p_prompts);
+	void _on_reported(const std::string &p_vm, const report_prompts_message &p_message);
+	void _send(const std::string &p_vm, const std::vector<prompt_record> &p_prompts);
 
 public:
-	prompt_exchange(gateway_context &p_context, gateway_fleet &p_fleet, engine_view &p_engines);
+	prompt_sync(gateway_context &p_context, gateway_fleet &p_fleet, engine_view &p_engines);
 
 	/** Records a prompt that this node sends to an engine, and announces it to the other nodes. */
 	void tell(const endpoint_identity &p_engine, const std::vector<prompt_link> &p_prompt);
@@ -37,4 +37,4 @@
 
 } // namespace calicoscale
 
-#endif // PROMPT_EXCHANGE_H
+#endif // PROMPT_SYNC_H
--- a/main/gateway/received_answer.cpp
+++ b/main/gateway/received_answer.cpp
@@ -18,10 +18,10 @@
 namespace {
 
 constexpr std::array<enum_name<answer_end>, 5> END_NAMES{ {
-		{ answer_end::WHOLE, "whole" },
+		{ answer_end::COMPLETE, "whole" },
 		{ answer_end::NOT_SENT, "not_sent" },
 		{ answer_end::LOST, "lost" },
-		{ answer_end::CUT, "cut" },
+		{ answer_end::TRUNCATED, "cut" },
 		{ answer_end::MALFORMED, "malformed" },
 } };
 
@@ -69,10 +69,10 @@
 			break;
 	}
 	if (!is_stream()) {
-		return _body.is_whole() ? answer_end::WHOLE : answer_end::CUT;
+		return _body.is_complete() ? answer_end::COMPLETE : answer_end::TRUNCATED;
 	}
 	const bool lacks_events = _expected == expected_answer::STREAM && !_head.has_length() && _events.get_event_count() == 0;
-	return _events.is_inside_event() || lacks_events ? answer_end::CUT : answer_end::WHOLE;
+	return _events.is_inside_event() || lacks_events ? answer_end::TRUNCATED : answer_end::COMPLETE;
 }
 
 } // namespace calicoscale
--- a/main/gateway/received_answer.h
+++ b/main/gateway/received_answer.h
@@ -23,15 +23,15 @@
 enum class expected_answer {
 	PLAIN,
 	STREAM, ///< At least one event.
-	REST_OF_STREAM, ///< The events after one that the caller already has, if there are any.
+	STREAM_REMAINDER, ///< The events after one that the caller already has, if there are any.
 };
 
 /** How an answer ended. */
 enum class answer_end {
-	WHOLE,
+	COMPLETE,
 	NOT_SENT, ///< No connection was established.
 	LOST, ///< The connection failed before the end of the answer.
-	CUT, ///< The connection closed in an orderly way, but the answer is incomplete.
+	TRUNCATED, ///< The connection closed in an orderly way, but the answer is incomplete.
 	MALFORMED, ///< The received data is not a valid answer.
 };
 
@@ -76,7 +76,7 @@
 	const event_splitter &get_events() const { return _events; }
 
 	/** Removes and returns the remaining bytes of a complete stream. */
-	std::string take_rest() { return _events.take_rest(); }
+	std::string take_remainder() { return _events.take_remainder(); }
 };
 
 } // namespace calicoscale
--- a/main/gateway/request_stages.cpp
+++ b/main/gateway/request_stages.cpp
@@ -30,8 +30,8 @@
 		_give_up_at(p_give_up_at),
 		_hooks(std::move(p_hooks)),
 		_graph(p_request.route->stages, p_request.facts.stage_pieces),
-		_transfers(_graph, [this](const std::string &p_handle) { return _services.endpoints.get_directory().find_zone(get_maker(p_handle)); }),
-		_remaining_stage_times(get_times_after(*p_request.configuration, *p_request.route, p_request.facts.stage_pieces)) {
+		_transfers(_graph, [this](const std::string &p_handle) { return _services.endpoints.get_directory().find_zone(get_producer(p_handle)); }),
+		_remaining_stage_times(get_remaining_stage_times(*p_request.configuration, *p_request.route, p_request.facts.stage_pieces)) {
 }
 
 request_stages::~request_stages() {
@@ -86,7 +86,7 @@
 		return;
 	}
 	if (read_bytes >= made_bytes) {
-		r_work.zone = _transfers.find_makers_zone(_graph.get_inputs(p_stage));
+		r_work.zone = _transfers.find_producers_zone(_graph.get_inputs(p_stage));
 		return;
 	}
 	_results_zone = _hooks.choose_zone();
@@ -97,7 +97,7 @@
 	for (const result_transfer &transfer : p_transfers) {
 		_services.context.metrics.on_results_read(transfer.from_pool, transfer.to, transfer.from_zone, transfer.to_zone, static_cast<double>(transfer.bytes));
 	}
-	return get_crossed_bytes(p_transfers);
+	return get_cross_zone_bytes(p_transfers);
 }
 
 std::size_t request_stages::count_final_read(const std::string &p_zone) {
@@ -128,11 +128,11 @@
 	work.homes = _request.homes;
 	const std::shared_ptr<std::uint64_t> id = std::make_shared<std::uint64_t>(0);
 	*id = _services.dispatcher.submit(spec.pool, std::move(work), [this, id](const work_result &p_result) { _on_work_ended(*id, p_result); });
-	_works[*id] = asked_stage{ p_stage, event_loop::now() };
+	_works[*id] = requested_stage{ p_stage, event_loop::now() };
 }
 
 void request_stages::_on_work_ended(std::uint64_t p_id, const work_result &p_result) {
-	const asked_stage asked = _works.at(p_id);
+	const requested_stage asked = _works.at(p_id);
 	_works.erase(p_id);
 	const bool is_done = p_result.end == work_end::DONE;
 	std::size_t crossed = 0;
@@ -152,7 +152,7 @@
 		return;
 	}
 	_may_have_run = true;
-	if (p_result.end == work_end::INPUT_GONE && may_remake()) {
+	if (p_result.end == work_end::INPUT_LOST && may_remake()) {
 		remake();
 		return;
 	}
@@ -188,7 +188,7 @@
 
 void request_stages::_release_unneeded() {
 	for (std::size_t i = 0; i < _graph.get_stage_count(); i++) {
-		_services.dispatcher.release(_graph.get_spec(i).pool, _graph.take_spent(i));
+		_services.dispatcher.release(_graph.get_spec(i).pool, _graph.take_unneeded(i));
 	}
 }
 
--- a/main/gateway/request_stages.h
+++ b/main/gateway/request_stages.h
@@ -33,7 +33,7 @@
  * that are no longer needed. Lost results are produced again. Destroying the object cancels the requested work.
  */
 class request_stages {
-	struct asked_stage {
+	struct requested_stage {
 		std::size_t stage = 0;
 		instant asked_at{};
 	};
@@ -47,7 +47,7 @@
 	stage_transfers _transfers;
 	std::vector<duration> _remaining_stage_times; ///< Time from the end of each stage to the end of the last one, without queueing.
 	std::vector<duration> _committed; ///< Work that is counted in the commitments, by stage.
-	std::map<std::uint64_t, asked_stage> _works; ///< Requested work that has not completed, by id.
+	std::map<std::uint64_t, requested_stage> _works; ///< Requested work that has not completed, by id.
 	std::string _results_zone; ///< Zone in which large results for the service are produced.
 	request_fingerprint _fingerprint;
 	bool _is_alone = false; ///< Items of this request share no call with those of other requests.
--- a/main/gateway/rollout_service.cpp
+++ b/main/gateway/rollout_service.cpp
@@ -29,12 +29,12 @@
 		_writer(p_context, p_fleet, _table),
 		_tick_timer(p_context.loop, [this] { _tick(); }) {
 	_configuration.topic_read().connect([this](const store_answer &p_answer, bool p_is_whole) { _apply_answer(p_answer, p_is_whole); });
-	beat_part section;
-	section.write = [this](beat_peer p_peer, const beat_sender &p_sender, heartbeat_message &r_message) { _write_heartbeat(p_peer, p_sender, r_message); };
-	section.read = [this](const beat_source &p_source, const heartbeat_message &p_message) { _read_heartbeat(p_source, p_message); };
+	heartbeat_section section;
+	section.write = [this](heartbeat_peer p_peer, const heartbeat_sender &p_sender, heartbeat_message &r_message) { _write_heartbeat(p_peer, p_sender, r_message); };
+	section.read = [this](const heartbeat_source &p_source, const heartbeat_message &p_message) { _read_heartbeat(p_source, p_message); };
 	section.on_told_hub = [](const heartbeat_message &) {};
 	section.on_lost = [this](const std::string &p_vm) { _sums.forget(p_vm); };
-	section.on_hubs_known = [this] { _sums.forget_total(); };
+	section.on_hubs_known = [this] { _sums.clear_total(); };
 	_fleet.add_part(std::move(section));
 }
 
@@ -45,14 +45,14 @@
 		_context.log.write(log_line("rollout_order_rejected").add("service", rejected.service).add("problem", rejected.problem));
 	}
 	if (p_is_whole) {
-		_table.take_whole(read.orders, log_position{ p_answer.era, p_answer.next_offset }, event_loop::now());
+		_table.apply_snapshot(read.orders, log_position{ p_answer.era, p_answer.next_offset }, event_loop::now());
 	} else if (!read.orders.empty()) {
-		_table.take_records(read.orders, event_loop::now());
+		_table.apply_records(read.orders, event_loop::now());
 	}
 	_publish_changes();
 }
 
-void rollout_service::_write_heartbeat(beat_peer p_peer, const beat_sender &p_sender, heartbeat_message &r_message) {
+void rollout_service::_write_heartbeat(heartbeat_peer p_peer, const heartbeat_sender &p_sender, heartbeat_message &r_message) {
 	_role = p_sender;
 	if (_table.is_empty()) {
 		return;
@@ -60,37 +60,37 @@
 	const instant now = event_loop::now();
 	_sums.set_own(_table.get_reports(now));
 	switch (p_peer) {
-		case beat_peer::OTHER:
-			r_message.rollouts = _table.get_told({}, now);
+		case heartbeat_peer::OTHER:
+			r_message.rollouts = _table.make_update({}, now);
 			break;
-		case beat_peer::HUB:
-			r_message.rollouts = _table.get_told(p_sender.is_hub ? _sums.get_subtree() : _sums.get_own(), now);
+		case heartbeat_peer::HUB:
+			r_message.rollouts = _table.make_update(p_sender.is_hub ? _sums.get_subtree() : _sums.get_own(), now);
 			break;
-		case beat_peer::FOLLOWER:
-			r_message.rollouts = _table.get_told(p_sender.knows_hubs ? _sums.get_total() : rollout_reports(), now);
+		case heartbeat_peer::FOLLOWER:
+			r_message.rollouts = _table.make_update(p_sender.knows_hubs ? _sums.get_total() : rollout_reports(), now);
 			break;
 	}
 }
 
-void rollout_service::_read_heartbeat(const beat_source &p_source, const heartbeat_message &p_message) {
+void rollout_service::_read_heartbeat(const heartbeat_source &p_source, const heartbeat_message &p_message) {
 	rollout_reports reports;
-	for (const told_rollout &update : p_message.rollouts) {
+	for (const rollout_update &update : p_message.rollouts) {
 		reports[update.order.service] = update.report;
 	}
 	const instant now = event_loop::now();
 	if (p_message.relies_on_you) {
-		_sums.take_follower(p_source.vm, std::move(reports));
+		_sums.set_follower(p_source.vm, std::move(reports));
 	} else if (p_message.is_total) {
 		if (p_source.is_relied_on) {
-			_sums.take_total(std::move(reports));
+			_sums.set_total(std::move(reports));
 			_total_received_at = now;
 		}
 	} else if (p_source.is_other_hub) {
-		_sums.take_peer(p_source.vm, std::move(reports));
+		_sums.set_peer(p_source.vm, std::move(reports));
 	} else {
 		_sums.forget(p_source.vm);
 	}
-	if (_table.take_told(p_message.rollouts, now)) {
+	if (_table.apply_update(p_message.rollouts, now)) {
 		_publish_changes();
 	}
 }
@@ -117,13 +117,13 @@
 		const bool is_known = _configuration.get_current() && _configuration.get_current()->find_service(change.service) != nullptr;
 		log_line line("rollout");
 		line.add("service", change.service).add("version", change.target_version).add("change", get_name(change.what));
-		line.add("known_service", is_known ? "yes" : "no").add("answers", static_cast<long long>(change.verdict.answers)).add("bad", static_cast<long long>(change.verdict.bad)).add("usual_share", std::to_string(change.verdict.usual_share));
+		line.add("known_service", is_known ? "yes" : "no").add("answers", static_cast<long long>(change.verdict.answers)).add("bad", static_cast<long long>(change.verdict.bad)).add("usual_share", std::to_string(change.verdict.baseline_share));
 		_context.log.write(line);
 		_context.metrics.count("rollout_" + std::string(get_name(change.what)));
 	}
 	if (!changes.empty()) {
 		set_endpoints(_endpoints.get_directory().get_listings());
-		_fleet.beat_now();
+		_fleet.send_heartbeats_now();
 		_tick_timer.set(TICK);
 	}
 }
@@ -173,8 +173,8 @@
 	if (entry == nullptr) {
 		return true;
 	}
-	const version_side side = entry->get_side(p_listing.version);
-	return p_for_target ? side == version_side::TARGET && entry->is_on_trial(p_listing.vm, event_loop::now()) : side == version_side::PRESENT;
+	const version_role side = entry->get_side(p_listing.version);
+	return p_for_target ? side == version_role::TARGET && entry->is_canary_endpoint(p_listing.vm, event_loop::now()) : side == version_role::CURRENT;
 }
 
 bool rollout_service::may_call(const std::string &p_service, const std::string &p_replica, std::size_t p_items) const {
@@ -186,15 +186,15 @@
 	const instant now = event_loop::now();
 	const double share = entry->get_share(now);
 	switch (entry->get_side(version->second)) {
-		case version_side::BARRED:
+		case version_role::BLOCKED:
 			return false;
-		case version_side::PRESENT:
+		case version_role::CURRENT:
 			return share < 1.0;
-		case version_side::TARGET:
+		case version_role::TARGET:
 			break;
 	}
 	const auto counted = _call_shares.find(p_service);
-	return share >= 1.0 || (counted != _call_shares.end() && counted->second.has_place(p_items, share) && entry->is_on_trial(p_replica, now));
+	return share >= 1.0 || (counted != _call_shares.end() && counted->second.fits_share(p_items, share) && entry->is_canary_endpoint(p_replica, now));
 }
 
 version_run rollout_service::on_call(const std::string &p_service, const std::string &p_replica, std::size_t p_items) {
@@ -204,7 +204,7 @@
 	if (entry != nullptr) {
 		call_share &share = _call_shares[p_service];
 		share.set_order(entry->get_order().at);
-		share.add(p_items, entry->get_side(run.version) == version_side::TARGET);
+		share.add(p_items, entry->get_side(run.version) == version_role::TARGET);
 	}
 	on_started(run);
 	return run;
@@ -216,7 +216,7 @@
 	if (entry != nullptr) {
 		entry->add_answer(p_run.endpoint, p_run.version, p_route, p_has_failed || is_slow);
 	}
-	const bool is_in_service = entry == nullptr || entry->get_side(p_run.version) == version_side::PRESENT;
+	const bool is_in_service = entry == nullptr || entry->get_side(p_run.version) == version_role::CURRENT;
 	if (is_in_service && !p_has_failed) {
 		_times.learn(p_run.service, p_route, p_elapsed);
 	}
--- a/main/gateway/rollout_service.h
+++ b/main/gateway/rollout_service.h
@@ -12,10 +12,10 @@
 #include "main/gateway/configuration_follower.h"
 #include "main/gateway/endpoint_follower.h"
 #include "main/gateway/rollout_writer.h"
-#include "servers/membership/hub_sums.h"
+#include "servers/membership/hub_aggregate.h"
 #include "servers/rollout/call_share.h"
+#include "servers/rollout/open_run_counter.h"
 #include "servers/rollout/rollout_table.h"
-#include "servers/rollout/version_runs.h"
 #include "servers/rollout/version_times.h"
 #include "servers/routing/router.h"
 
@@ -44,18 +44,18 @@
 	gateway_fleet &_fleet;
 	rollout_table _table;
 	rollout_writer _writer;
-	hub_sums<rollout_reports> _sums{ &add_reports };
-	beat_sender _role;
+	hub_aggregate<rollout_reports> _sums{ &add_reports };
+	heartbeat_sender _role;
 	instant _total_received_at{}; ///< When the hub that this node follows last sent the total of all nodes.
-	version_runs _runs;
+	open_run_counter _runs;
 	version_times _times;
 	std::map<std::string, call_share> _call_shares; ///< By service, for calls that this node dispatches.
 	std::unordered_map<std::string, std::string> _versions; ///< Version of each endpoint of the services that are rolled out, by endpoint name.
 	timer _tick_timer;
 
 	void _apply_answer(const store_answer &p_answer, bool p_is_whole);
-	void _write_heartbeat(beat_peer p_peer, const beat_sender &p_sender, heartbeat_message &r_message);
-	void _read_heartbeat(const beat_source &p_source, const heartbeat_message &p_message);
+	void _write_heartbeat(heartbeat_peer p_peer, const heartbeat_sender &p_sender, heartbeat_message &r_message);
+	void _read_heartbeat(const heartbeat_source &p_source, const heartbeat_message &p_message);
 	rollout_view _get_view(const rollout &p_rollout, instant p_now) const;
 	void _publish_changes();
 	void _tick();
--- a/main/gateway/rollout_writer.cpp
+++ b/main/gateway/rollout_writer.cpp
@@ -75,7 +75,7 @@
 	const instant now = event_loop::now();
 	const unix_milliseconds wall = event_loop::wall();
 	const std::optional<rollout_status> stored = find_rollout_status(p_answer.records, p_status.service, wall);
-	const bool is_of_order = stored && known->take_status(*stored, now);
+	const bool is_of_order = stored && known->apply_status(*stored, now);
 	if (is_of_order && (stored->state == p_status.state || stored->state != rollout_state::IN_PROGRESS)) {
 		_retry(p_status.service, duration::zero());
 		return;
--- a/main/gateway/send_guard.h
+++ b/main/gateway/send_guard.h
@@ -15,7 +15,7 @@
 #include "main/gateway/rollout_service.h"
 #include "platform/request_codec.h"
 #include "servers/gateway/endpoint_limits.h"
-#include "servers/gateway/waiting_line.h"
+#include "servers/gateway/service_queue.h"
 #include "servers/routing/router.h"
 
 #include <optional>
@@ -36,10 +36,10 @@
 	rollout_service &_rollouts;
 	endpoint_limits _limits;
 	hub_relay<limit_record> _relay;
-	waiting_line _queue;
+	service_queue _queue;
 
 	void _on_link_up(const std::string &p_vm);
-	void _on_limits_reported(const std::string &p_vm, const tell_limits_message &p_message);
+	void _on_limits_reported(const std::string &p_vm, const report_limits_message &p_message);
 	void _send(const std::string &p_vm, const std::vector<limit_record> &p_records);
 	void _log_change(limit_change p_change, const endpoint_identity &p_endpoint, std::string_view p_source);
 
@@ -52,7 +52,7 @@
 	rollout_service &get_rollouts() { return _rollouts; }
 
 	/** Whether this node may send one more request to an endpoint now. */
-	bool may_send(const endpoint_identity &p_endpoint, sender_part p_part, instant p_now) { return _limits.may_send(p_endpoint, p_part, p_now); }
+	bool may_send(const endpoint_identity &p_endpoint, sender_share p_part, instant p_now) { return _limits.may_send(p_endpoint, p_part, p_now); }
 
 	/** Records that this node sent a request. */
 	void on_sent(const endpoint_identity &p_endpoint, instant p_now) { _limits.on_sent(p_endpoint, p_now); }
@@ -72,7 +72,7 @@
 	send_prospect predict(router &r_choices, const choice_request &p_request, std::size_t p_before);
 
 	/** Queue of requests that were admitted and have not been sent yet. */
-	waiting_line &get_line() { return _queue; }
+	service_queue &get_queue() { return _queue; }
 
 	/** Updates the senders with the members of the zone and removes expired limits. Must be called often. */
 	void tick(bool p_is_settled);
--- a/main/gateway/send_permit.cpp
+++ b/main/gateway/send_permit.cpp
@@ -24,26 +24,26 @@
 void send_permit::ask(const permit_hooks &p_hooks) {
 	if (_has_unused_trial) {
 		_has_unused_trial = false;
-		p_hooks.on_granted(send_care::QUIETEST);
+		p_hooks.on_granted(send_mode::QUIETEST);
 		return;
 	}
 	const crash_verdict verdict = _guard.judge(_get_content());
 	switch (verdict.standing) {
-		case crash_standing::FREE:
-			p_hooks.on_granted(send_care::NONE);
+		case crash_state::FREE:
+			p_hooks.on_granted(send_mode::NONE);
 			return;
-		case crash_standing::SUSPECT:
-			p_hooks.on_granted(send_care::QUIETEST);
+		case crash_state::SUSPECT:
+			p_hooks.on_granted(send_mode::QUIETEST);
 			return;
-		case crash_standing::HELD_BACK:
+		case crash_state::BLOCKED:
 			p_hooks.on_refused(verdict.retry_after);
 			return;
-		case crash_standing::ON_TRIAL:
+		case crash_state::ON_TRIAL:
 			break;
 	}
-	_trial = _guard.ask_trial(_get_content(), [hooks = p_hooks](bool p_may_send) {
+	_trial = _guard.request_trial(_get_content(), [hooks = p_hooks](bool p_may_send) {
 		if (p_may_send) {
-			hooks.on_granted(send_care::QUIETEST);
+			hooks.on_granted(send_mode::QUIETEST);
 		} else {
 			hooks.on_refused(OTHER_TRIAL_RETRY_AFTER);
 		}
--- a/main/gateway/send_permit.h
+++ b/main/gateway/send_permit.h
@@ -16,14 +16,14 @@
 namespace calicoscale {
 
 /** How a request is sent. */
-enum class send_care {
+enum class send_mode {
 	NONE,
 	QUIETEST, ///< To the endpoint with the least work, as the request may crash it.
 };
 
 /** Outcomes of a permit request. */
 struct permit_hooks {
-	std::function<void(send_care)> on_granted;
+	std::function<void(send_mode)> on_granted;
 	std::function<void(duration)> on_refused; ///< Receives the time after which the request may be retried.
 };
 
--- a/main/gateway/stage_dispatcher.cpp
+++ b/main/gateway/stage_dispatcher.cpp
@@ -33,7 +33,7 @@
 stage_dispatcher::stage_dispatcher(gateway_context &p_context, configuration_follower &p_configuration, gateway_fleet &p_fleet, commitment_table &p_commitments, send_guard &p_guard) :
 		_context(p_context), _configuration(p_configuration), _fleet(p_fleet), _commitments(p_commitments), _tick_timer(p_context.loop, [this] { _tick(); }), _guard(p_guard) {
 	node_link &link = _fleet.get_link();
-	link.work_handed().connect([this](const std::string &p_vm, const hand_work_message &p_message) { _on_work_assigned(p_vm, p_message); });
+	link.work_handed().connect([this](const std::string &p_vm, const assign_work_message &p_message) { _on_work_assigned(p_vm, p_message); });
 	link.work_ended().connect([this](const std::string &p_vm, const work_ended_message &p_message) { _on_assigned_work_ended(p_vm, p_message); });
 	link.work_cancelled().connect([this](const std::string &p_vm, const cancel_work_message &p_message) {
 		const auto found = _pools.find(p_message.pool);
@@ -44,9 +44,9 @@
 	link.results_released().connect([this](const std::string &, const release_results_message &p_message) {
 		_get_pool(p_message.pool).calls.release(p_message.handles);
 	});
-	link.results_told().connect([this](const std::string &p_vm, const tell_results_message &p_message) { _on_results_reported(p_vm, p_message); });
-	_fleet.reach_changed().connect([this](const std::set<std::string> &p_zones) { _on_reach_changed(p_zones); });
-	_fleet.peer_lost().connect([this](const std::string &p_vm) { _on_peer_lost(p_vm); });
+	link.results_reported().connect([this](const std::string &p_vm, const report_results_message &p_message) { _on_results_reported(p_vm, p_message); });
+	_fleet.reachability_changed().connect([this](const std::set<std::string> &p_zones) { _on_reach_changed(p_zones); });
+	_fleet.peer_failed().connect([this](const std::string &p_vm) { _on_peer_lost(p_vm); });
 }
 
 void stage_dispatcher::start() {
@@ -77,7 +77,7 @@
 	for (auto &[name, entry] : _pools) {
 		_update_replicas(name, entry);
 	}
-	_on_reach_changed(_fleet.get_unreached_zones());
+	_on_reach_changed(_fleet.get_unreachable_zones());
 }
 
 std::size_t stage_dispatcher::_count_shards(const std::string &p_pool) const {
@@ -116,7 +116,7 @@
 	}
 }
 
-bool stage_dispatcher::is_closed_off(const std::string &p_pool, const home_regions &p_homes) const {
+bool stage_dispatcher::has_no_admitted_endpoint(const std::string &p_pool, const home_regions &p_homes) const {
 	const auto staying = _staying.find(p_pool);
 	return staying != _staying.end() && std::all_of(staying->second.begin(), staying->second.end(), [this, &p_homes](const endpoint_listing &p_listing) {
 		return _evacuated_zones.contains(p_listing.zone) || !p_homes.admits(p_listing.zone, _context.settings.regions);
@@ -129,7 +129,7 @@
 		return found->second;
 	}
 	pool_caller_hooks hooks;
-	hooks.on_run_lost = [this](const lost_run &p_run) { _on_run_lost(p_run); };
+	hooks.on_run_interrupted = [this](const interrupted_run &p_run) { _on_run_lost(p_run); };
 	// After a process stall, answers are read before the tick drops the work that has moved to other nodes. No calls are sent until then.
 	hooks.may_call = [this] { return event_loop::now() - _ticked_at <= STALL_THRESHOLD; };
 	hooks.on_ended = [this, p_name](const work_result &p_result) { _on_ended(_pools.at(p_name), p_result); };
@@ -146,7 +146,7 @@
 }
 
 void stage_dispatcher::_update_no_dispatcher_since(const dispatch_view &p_view, instant p_now) {
-	if (!p_view.nodes.empty() || !p_view.is_told) {
+	if (!p_view.nodes.empty() || !p_view.is_follower) {
 		_no_dispatcher_since = instant{};
 	} else if (_no_dispatcher_since == instant{}) {
 		_no_dispatcher_since = p_now;
@@ -165,9 +165,9 @@
 	return id;
 }
 
-hand_work_message stage_dispatcher::_make_assignment(std::uint64_t p_id, const own_work &p_own) const {
+assign_work_message stage_dispatcher::_make_assignment(std::uint64_t p_id, const own_work &p_own) const {
 	const instant now = event_loop::now();
-	hand_work_message message;
+	assign_work_message message;
 	message.id = p_id;
 	message.pool = p_own.pool;
 	message.attempt = p_own.work.attempt;
@@ -256,9 +256,9 @@
 	_pump_soon();
 }
 
-void stage_dispatcher::_on_work_assigned(const std::string &p_vm, const hand_work_message &p_message) {
-	constexpr std::uint32_t MOST_PIECES = 4096;
-	if (p_message.pieces == 0 || p_message.pieces > MOST_PIECES) {
+void stage_dispatcher::_on_work_assigned(const std::string &p_vm, const assign_work_message &p_message) {
+	constexpr std::uint32_t MAX_ITEMS = 4096;
+	if (p_message.pieces == 0 || p_message.pieces > MAX_ITEMS) {
 		_context.metrics.count("work_rejected");
 		_context.log.write(log_line("work_rejected").add("node", p_vm).add("pieces", static_cast<long long>(p_message.pieces)));
 		return;
@@ -341,11 +341,11 @@
 }
 
 void stage_dispatcher::_report_used_results(const std::string &p_pool, std::map<std::string, own_result> &r_results) {
-	if (r_results.empty() || !_context.settings.mechanisms.has(mechanism::TOLD_RESULTS)) {
+	if (r_results.empty() || !_context.settings.mechanisms.has(mechanism::REPORTED_RESULTS)) {
 		return;
 	}
 	const std::string node = _choose_node(p_pool);
-	tell_results_message message;
+	report_results_message message;
 	message.pool = p_pool;
 	for (const auto &[handle, result] : r_results) {
 		if (result.reported_to != node) {
@@ -368,23 +368,23 @@
 	_context.log.write(log_line("results_told").add("pool", p_pool).add("node", node).add("count", static_cast<long long>(message.handles.size())));
 }
 
-void stage_dispatcher::_on_results_reported(const std::string &p_owner, const tell_results_message &p_message) {
-	std::vector<held_result> results;
+void stage_dispatcher::_on_results_reported(const std::string &p_owner, const report_results_message &p_message) {
+	std::vector<owned_result> results;
 	for (std::size_t i = 0; i < p_message.handles.size(); i++) {
 		const std::uint64_t incarnation = i < p_message.incarnations.size() ? p_message.incarnations[i] : 0;
-		results.push_back(held_result{ p_message.handles[i], get_maker(p_message.handles[i]), incarnation, static_cast<double>(p_message.result_bytes[i]) });
+		results.push_back(owned_result{ p_message.handles[i], get_producer(p_message.handles[i]), incarnation, static_cast<double>(p_message.result_bytes[i]) });
 	}
-	_get_pool(p_message.pool).calls.get_pool().on_results_told(p_owner, results, event_loop::now());
+	_get_pool(p_message.pool).calls.get_pool().on_results_reported(p_owner, results, event_loop::now());
 }
 
 void stage_dispatcher::_release_results_of_failed() {
 	const instant now = event_loop::now();
 	for (auto lost = _failed_at.begin(); lost != _failed_at.end();) {
-		if (!_fleet.is_heard(lost->first) && now - lost->second < FAILED_NODE_RESULT_LIFETIME) {
+		if (!_fleet.is_responsive(lost->first) && now - lost->second < FAILED_NODE_RESULT_LIFETIME) {
 			++lost;
 			continue;
 		}
-		if (!_fleet.is_heard(lost->first) && _context.settings.mechanisms.has(mechanism::LOST_RESULTS)) {
+		if (!_fleet.is_responsive(lost->first) && _context.settings.mechanisms.has(mechanism::LOST_RESULTS)) {
 			for (auto &[name, entry] : _pools) {
 				const std::vector<std::string> handles = entry.calls.get_pool().get_results_of(lost->first);
 				entry.calls.release(handles);
@@ -426,7 +426,7 @@
 
 void stage_dispatcher::_on_reach_changed(const std::set<std::string> &p_zones) {
 	for (auto &[name, entry] : _pools) {
-		entry.calls.set_unreached_zones(p_zones);
+		entry.calls.set_unreachable_zones(p_zones);
 	}
 	_pump_soon();
 }
--- a/main/gateway/stage_dispatcher.h
+++ b/main/gateway/stage_dispatcher.h
@@ -11,7 +11,7 @@
 
 #include "main/gateway/gateway_fleet.h"
 #include "main/gateway/pool_caller.h"
-#include "servers/gateway/dispatch_choice.h"
+#include "servers/gateway/dispatcher_selection.h"
 #include "servers/gateway/pool_shards.h"
 
 #include <functional>
@@ -78,7 +78,7 @@
 	instant _ticked_at{};
 	instant _no_dispatcher_since{}; ///< Since when this node, as a follower, has known no dispatching node; otherwise not set.
 	bool _pump_posted = false;
-	std::function<void(const lost_run &)> _on_run_lost;
+	std::function<void(const interrupted_run &)> _on_run_lost;
 	std::set<std::string> _evacuated_zones;
 	std::map<std::string, std::vector<endpoint_listing>> _staying; ///< Endpoints that are not leaving, by pool (not by shard).
 
@@ -96,7 +96,7 @@
 	void _update_no_dispatcher_since(const dispatch_view &p_view, instant p_now);
 	std::string _choose_node(const std::string &p_pool) const;
 	void _assign(std::uint64_t p_id, const std::string &p_except);
-	hand_work_message _make_assignment(std::uint64_t p_id, const own_work &p_own) const;
+	assign_work_message _make_assignment(std::uint64_t p_id, const own_work &p_own) const;
 	void _assign_waiting();
 	void _keep_links();
 	void _log_requested(const own_work &p_own);
@@ -117,11 +117,11 @@
 	void _tick();
 	void _drop_work_after_stall();
 	void _report_used_results(const std::string &p_pool, std::map<std::string, own_result> &r_results);
-	void _on_results_reported(const std::string &p_owner, const tell_results_message &p_message);
+	void _on_results_reported(const std::string &p_owner, const report_results_message &p_message);
 	void _release_results_of_failed();
 	void _on_reach_changed(const std::set<std::string> &p_zones);
 	void _on_peer_lost(const std::string &p_vm);
-	void _on_work_assigned(const std::string &p_vm, const hand_work_message &p_message);
+	void _on_work_assigned(const std::string &p_vm, const assign_work_message &p_message);
 
 public:
 	stage_dispatcher(gateway_context &p_context, configuration_follower &p_configuration, gateway_fleet &p_fleet, commitment_table &p_commitments, send_guard &p_guard);
@@ -129,7 +129,7 @@
 	void start();
 
 	/** Sets the hook that receives requests whose items were lost at a replica. */
-	void set_on_run_lost(std::function<void(const lost_run &)> p_hook) { _on_run_lost = std::move(p_hook); }
+	void set_on_run_interrupted(std::function<void(const interrupted_run &)> p_hook) { _on_run_lost = std::move(p_hook); }
 
 	/** Sets the endpoints of all pools. */
 	void set_endpoints(const std::vector<endpoint_listing> &p_listings);
@@ -138,7 +138,7 @@
 	void set_evacuated_zones(std::set<std::string> p_zones) { _evacuated_zones = std::move(p_zones); }
 
 	/** Whether a pool has replicas that are not leaving, and all of these are evacuated or outside the home regions of a request. */
-	bool is_closed_off(const std::string &p_pool, const home_regions &p_homes) const;
+	bool has_no_admitted_endpoint(const std::string &p_pool, const home_regions &p_homes) const;
 
 	/** Requests the items of a stage from a pool. The hook is called once unless the work is cancelled. Returns the id of the work. */
 	std::uint64_t submit(const std::string &p_pool, stage_work p_work, end_hook p_hook);
--- a/main/gateway/store_sharing.cpp
+++ b/main/gateway/store_sharing.cpp
@@ -24,17 +24,17 @@
 
 store_sharing::store_sharing(gateway_context &p_context, configuration_follower &p_configuration, endpoint_follower &p_endpoints, node_link &p_link, store_sharing_hooks p_hooks) :
 		_context(p_context), _configuration(p_configuration), _endpoints(p_endpoints), _link(p_link), _hooks(std::move(p_hooks)), _started_at(event_loop::now()) {
-	_link.endpoints_told().connect([this](const std::string &p_vm, const tell_endpoints_message &p_message) { _endpoints.offer(p_message.endpoints, p_message.known, p_vm); });
-	_link.reading_told().connect([this](const std::string &p_vm, const tell_reading_message &p_message) { _on_delta_reported(p_vm, p_message.reading); });
-	_endpoints.reading_taken().connect([this](const endpoint_reading &p_reading) { _publish_delta(p_reading); });
+	_link.endpoints_reported().connect([this](const std::string &p_vm, const report_endpoints_message &p_message) { _endpoints.offer(p_message.endpoints, p_message.known, p_vm); });
+	_link.delta_reported().connect([this](const std::string &p_vm, const report_delta_message &p_message) { _on_delta_reported(p_vm, p_message.reading); });
+	_endpoints.delta_published().connect([this](const endpoint_delta &p_reading) { _publish_delta(p_reading); });
 	// The copy may be older than the record with this node's name.
 	_endpoints.era_entered().connect([this] { _is_name_written = false; });
 }
 
 void store_sharing::set_zone_nodes(const std::vector<overlay_node> &p_nodes) {
-	const std::size_t rank = find_reading_place(_context.settings.vm, p_nodes);
-	_configuration.set_place(rank);
-	_endpoints.set_place(rank);
+	const std::size_t rank = find_read_rank(_context.settings.vm, p_nodes);
+	_configuration.set_read_rank(rank);
+	_endpoints.set_read_rank(rank);
 }
 
 bool store_sharing::_is_discovering_peers() const {
@@ -47,9 +47,9 @@
 	if (!_context.settings.mechanisms.has(mechanism::STORE_READERS)) {
 		return;
 	}
-	const bool is_patient = !is_reader() || _is_discovering_peers();
-	_configuration.set_patient(is_patient);
-	_endpoints.set_patient(is_patient);
+	const bool has_peer_reader = !is_reader() || _is_discovering_peers();
+	_configuration.set_has_peer_reader(has_peer_reader);
+	_endpoints.set_has_peer_reader(has_peer_reader);
 	if (is_reader() != was_reader) {
 		_context.log.write(log_line("store_reader").add("zone", _context.settings.zone).add("reads", is_reader() ? "yes" : "no").add("reader", _reader).add("candidates", static_cast<long long>(p_hubs.size())));
 	}
@@ -60,7 +60,7 @@
 	if (!_context.settings.mechanisms.has(mechanism::STORE_READERS)) {
 		return;
 	}
-	const bool is_covered = _coverage.is_covered(_configuration.get_version(), _hooks.is_heard, event_loop::now());
+	const bool is_covered = _coverage.is_covered(_configuration.get_version(), _hooks.is_responsive, event_loop::now());
 	_configuration.set_covered(!is_reader() && is_covered && _configuration.get_current() != nullptr);
 }
 
@@ -72,26 +72,26 @@
 	}
 }
 
-void store_sharing::_publish_delta(const endpoint_reading &p_reading) {
+void store_sharing::_publish_delta(const endpoint_delta &p_reading) {
 	if (!is_reader() || !_context.settings.mechanisms.has(mechanism::STORE_READERS)) {
 		return;
 	}
 	for (const std::string &vm : _link.get_linked()) {
 		if (_hooks.is_in_own_zone(vm)) {
-			_link.send(vm, tell_reading_message{ p_reading });
+			_link.send(vm, report_delta_message{ p_reading });
 		}
 	}
 }
 
-void store_sharing::_on_delta_reported(const std::string &p_vm, const endpoint_reading &p_reading) {
+void store_sharing::_on_delta_reported(const std::string &p_vm, const endpoint_delta &p_reading) {
 	if (!_context.settings.mechanisms.has(mechanism::STORE_READERS)) {
 		return;
 	}
-	_hooks.collect_news();
-	_endpoints.take_reading(p_reading, p_vm);
+	_hooks.collect_updates();
+	_endpoints.apply_delta(p_reading, p_vm);
 	// The reader announces these updates to all nodes. The other nodes of its zone need not announce them again.
-	_endpoints.get_directory().take_news();
-	_endpoints.get_directory().take_gone();
+	_endpoints.get_directory().take_updates();
+	_endpoints.get_directory().take_removed();
 }
 
 void store_sharing::use_names(bool p_is_hub) {
