--- a/main/gateway/store_sharing.h
+++ b/main/gateway/store_sharing.h
@@ -12,8 +12,8 @@
 #include "drivers/node_link.h"
 #include "main/gateway/configuration_follower.h"
 #include "main/gateway/endpoint_follower.h"
-#include "servers/membership/reading_order.h"
-#include "servers/membership/store_cover.h"
+#include "servers/membership/read_rank.h"
+#include "servers/membership/store_coverage.h"
 
 #include <functional>
 #include <string>
@@ -23,9 +23,9 @@
 
 /** Callbacks from store_sharing to the fleet. */
 struct store_sharing_hooks {
-	std::function<bool(const std::string &)> is_heard; ///< Whether there was recent contact with a node.
+	std::function<bool(const std::string &)> is_responsive; ///< Whether there was recent contact with a node.
 	std::function<bool(const std::string &)> is_in_own_zone;
-	std::function<void()> collect_news; ///< Collects the pending updates of endpoints before a reader's delta is applied.
+	std::function<void()> collect_updates; ///< Collects the pending updates of endpoints before a reader's delta is applied.
 };
 
 /** One hub of a zone reads the store and sends what it read to the others, which read by themselves only if nothing arrives. */
@@ -35,15 +35,15 @@
 	endpoint_follower &_endpoints;
 	node_link &_link;
 	const store_sharing_hooks _hooks;
-	store_cover _coverage;
+	store_coverage _coverage;
 	std::string _reader;
 	instant _started_at{};
 	bool _is_name_written = false; ///< This node's name and address are in the store.
 	instant _name_write_at{};
 	instant _read_names_at{};
 
-	void _publish_delta(const endpoint_reading &p_reading);
-	void _on_delta_reported(const std::string &p_vm, const endpoint_reading &p_reading);
+	void _publish_delta(const endpoint_delta &p_reading);
+	void _on_delta_reported(const std::string &p_vm, const endpoint_delta &p_reading);
 	/** Whether this node has just started and may still find peers that read for it. Without links it chooses itself as the reader. */
 	bool _is_discovering_peers() const;
 	void _write_name();
--- a/main/gateway/topic_reader.cpp
+++ b/main/gateway/topic_reader.cpp
@@ -47,12 +47,12 @@
 	_send(_schedule.begin());
 }
 
-void topic_reader::read_after_absence() {
+void topic_reader::read_after_stall() {
 	_read_began_at = event_loop::now();
-	_send(_schedule.begin_after_absence());
+	_send(_schedule.begin_after_stall());
 }
 
-void topic_reader::read_whole() {
+void topic_reader::load_snapshot() {
 	_is_loaded = false;
 	read();
 }
@@ -140,9 +140,9 @@
 	_answered_at = event_loop::now();
 	const bool is_other_era = p_answer.era != _known.era;
 	_enter_era(p_answer.era);
-	if (p_answer.status == store_status::HISTORY_GONE || (is_other_era && !p_is_whole)) {
+	if (p_answer.status == store_status::HISTORY_COMPACTED || (is_other_era && !p_is_whole)) {
 		_context.log.write(log_line("history_gone").add("topic", _topic).add("offset", static_cast<long long>(_known.offset)).add("era", static_cast<long long>(_known.era)));
-		read_whole();
+		load_snapshot();
 		return;
 	}
 	_is_loaded = true;
--- a/main/gateway/topic_reader.h
+++ b/main/gateway/topic_reader.h
@@ -65,13 +65,13 @@
 	void read();
 
 	/** Begins, after a stall of this process, a read that the store answers immediately. */
-	void read_after_absence();
+	void read_after_stall();
 
 	/** Whether the store, or the node that reads for this one, answered at or after p_moment. */
 	bool is_answered_since(instant p_moment) const { return _answered_at >= p_moment; }
 
 	/** Begins to read a snapshot, the newest record of each key, immediately. */
-	void read_whole();
+	void load_snapshot();
 
 	/** Schedules a read after this time. Does nothing if a read is in progress. */
 	void read_in(duration p_time);
@@ -86,19 +86,19 @@
 	void pause();
 
 	/** Sets whether a peer reads for this node as soon as the store answers that peer; see read_schedule. */
-	void set_patient(bool p_is_patient) { _schedule.set_patient(p_is_patient); }
+	void set_has_peer_reader(bool p_is_patient) { _schedule.set_has_peer_reader(p_is_patient); }
 
 	/** Sets the rank of this node in the order in which nodes read for the first time; see read_schedule. */
-	void set_place(std::size_t p_rank) { _schedule.set_place(p_rank); }
+	void set_read_rank(std::size_t p_rank) { _schedule.set_read_rank(p_rank); }
 
 	/** Whether another node reads for this one. */
-	bool is_patient() const { return _schedule.is_patient(); }
+	bool has_peer_reader() const { return _schedule.has_peer_reader(); }
 
 	/** Records that the known data were confirmed as the newest by other means. */
 	void note_answered() { _answered_at = event_loop::now(); }
 
 	/** Whether the store answered the last read in time and the open read is not overdue. */
-	bool is_answered() const { return _schedule.is_heard(); }
+	bool is_answered() const { return _schedule.is_responsive(); }
 
 	/** Whether a snapshot of the topic is known, so that reads continue from the offset. */
 	bool is_loaded() const { return _is_loaded; }
--- a/main/serve/admin_interface.cpp
+++ b/main/serve/admin_interface.cpp
@@ -172,7 +172,7 @@
 	status["process"] = write_process_use();
 	json members = json::array();
 	for (const auto &[vm, entry] : _fleet->get_members().get_members()) {
-		const double silent = to_seconds(event_loop::now() - entry.heard_at);
+		const double silent = to_seconds(event_loop::now() - entry.last_contact_at);
 		members.push_back({ { "vm", vm }, { "zone", entry.digest.zone }, { "state", get_name(entry.state) }, { "ready", entry.digest.ready }, { "configuration_version", entry.digest.configuration_version }, { "admin", to_string(entry.digest.admin) }, { "silent_seconds", silent } });
 	}
 	status["members"] = std::move(members);
--- a/main/serve/caller_interface.cpp
+++ b/main/serve/caller_interface.cpp
@@ -212,7 +212,7 @@
 	open->exchange = std::move(p_exchange);
 	open->customer = p_customer;
 	open->pipeline = p_pipeline;
-	open->exchange->set_on_gone([this, weak = std::weak_ptr<open_exchange>(open)] {
+	open->exchange->set_on_disconnect([this, weak = std::weak_ptr<open_exchange>(open)] {
 		const std::shared_ptr<open_exchange> gone = weak.lock();
 		if (gone && gone->has_id) {
 			_requests.abandon(gone->id);
@@ -293,7 +293,7 @@
 	}
 	const std::shared_ptr<open_exchange> open = std::make_shared<open_exchange>();
 	open->exchange = std::move(p_exchange);
-	open->exchange->set_on_gone([weak = std::weak_ptr<open_exchange>(open)] {
+	open->exchange->set_on_disconnect([weak = std::weak_ptr<open_exchange>(open)] {
 		const std::shared_ptr<open_exchange> gone = weak.lock();
 		if (gone && gone->stop) {
 			gone->stop();
--- a/main/serve/configuration_service.cpp
+++ b/main/serve/configuration_service.cpp
@@ -105,8 +105,8 @@
 	_version_in_force.emit();
 }
 
-void configuration_service::take_snapshot(const configuration_snapshot &p_snapshot, const std::string &p_peer) {
-	const bool rose = _fold.take_snapshot(p_snapshot);
+void configuration_service::apply_snapshot(const configuration_snapshot &p_snapshot, const std::string &p_peer) {
+	const bool rose = _fold.apply_snapshot(p_snapshot);
 	_note_change(rose, p_peer);
 	_advance_publications();
 }
--- a/main/serve/configuration_service.h
+++ b/main/serve/configuration_service.h
@@ -70,7 +70,7 @@
 	void set_fleet_size(std::size_t p_size) { _fleet_size = p_size; }
 
 	/** Takes in what a peer told. */
-	void take_snapshot(const configuration_snapshot &p_snapshot, const std::string &p_peer);
+	void apply_snapshot(const configuration_snapshot &p_snapshot, const std::string &p_peer);
 
 	/** Publishes a document built on a version; the hook is called once, within the time given. */
 	void publish(const std::string &p_document, std::uint64_t p_base, const std::string &p_author, duration p_within, std::function<void(const publication &)> p_hook);
--- a/main/serve/fleet_service.cpp
+++ b/main/serve/fleet_service.cpp
@@ -52,8 +52,8 @@
 		_list_timer(p_context.loop, [this] { _fetch_list(); }),
 		_load_timer(p_context.loop, [this] { _poll_loads(); }) {
 	_link.heartbeat_received().connect([this](const std::string &p_vm, const heartbeat_message &p_message) { _on_heartbeat(p_vm, p_message); });
-	_link.configuration_asked().connect([this](const std::string &p_vm, std::uint64_t p_have) { _on_configuration_asked(p_vm, p_have); });
-	_link.configuration_told().connect([this](const std::string &p_vm, const configuration_snapshot &p_snapshot) { _configuration.take_snapshot(p_snapshot, p_vm); });
+	_link.configuration_requested().connect([this](const std::string &p_vm, std::uint64_t p_have) { _on_configuration_asked(p_vm, p_have); });
+	_link.configuration_reported().connect([this](const std::string &p_vm, const configuration_snapshot &p_snapshot) { _configuration.apply_snapshot(p_snapshot, p_vm); });
 	_link.link_up().connect([this](const std::string &p_vm) { _tell(p_vm); });
 	_configuration.version_in_force().connect([this] { _send_heartbeats(); });
 }
@@ -114,7 +114,7 @@
 
 void fleet_service::_on_heartbeat(const std::string &p_vm, const heartbeat_message &p_message) {
 	_context.timeline.observe(p_message.at);
-	_members.take_digests(p_message.digests, event_loop::now());
+	_members.merge_digests(p_message.digests, event_loop::now());
 	_note_changes();
 	bool has_new_mark = false;
 	for (const leaving_mark &mark : p_message.marks) {
@@ -182,13 +182,13 @@
 		return;
 	}
 	const instant now = event_loop::now();
-	const bool was_doubting = _guard.is_doubting();
+	const bool was_doubting = _guard.is_list_deferred();
 	const std::size_t marks_before = _router.get_leaving_marks().size();
 	_router.set_listings(_guard.take(p_listing->endpoints, now));
-	_members.take_listings(p_listing->entries, now);
+	_members.apply_listings(p_listing->entries, now);
 	_list_known = _list_known || !p_listing->endpoints.empty();
-	if (_guard.is_doubting() != was_doubting) {
-		LOG(WARNING) << "event=vm_list_doubted doubting=" << _guard.is_doubting() << " endpoints=" << p_listing->endpoints.size();
+	if (_guard.is_list_deferred() != was_doubting) {
+		LOG(WARNING) << "event=vm_list_doubted doubting=" << _guard.is_list_deferred() << " endpoints=" << p_listing->endpoints.size();
 	}
 	if (_router.get_leaving_marks().size() != marks_before) {
 		on_endpoint_leaving();
@@ -212,7 +212,7 @@
 			if (!p_load) {
 				return;
 			}
-			_router.take_report(id, endpoint_load{ p_load->running, p_load->queued, event_loop::now() - p_load->age });
+			_router.apply_report(id, endpoint_load{ p_load->running, p_load->queued, event_loop::now() - p_load->age });
 			if (p_load->leaving && _router.mark_leaving(vm, incarnation)) {
 				on_endpoint_leaving();
 			}
@@ -244,7 +244,7 @@
 			continue;
 		}
 		const customer_limits limits = get_limits(*current, customer);
-		const limit_part part = compute_limit_part(_context.settings.vm, members, current->policy.zones, customer.name, limits.requests_per_second, limits.concurrency);
+		const node_limit_share part = compute_limit_share(_context.settings.vm, members, current->policy.zones, customer.name, limits.requests_per_second, limits.concurrency);
 		_limiter.set_part(customer.name, limits, part, now);
 	}
 }
--- a/main/serve/fleet_service.h
+++ b/main/serve/fleet_service.h
@@ -85,7 +85,7 @@
 
 	const member_table &get_members() const { return _members; }
 	node_link &get_link() { return _link; }
-	bool is_doubting_list() const { return _guard.is_doubting(); }
+	bool is_doubting_list() const { return _guard.is_list_deferred(); }
 };
 
 } // namespace calicoscale
--- a/main/serve/once_service.cpp
+++ b/main/serve/once_service.cpp
@@ -256,8 +256,8 @@
 		// It may be that this node has just started and does not know the fleet yet.
 		return;
 	}
-	const bool is_heard = owner->digest.heartbeat > 0;
-	if (is_heard && owner->digest.incarnation != passed.owner_incarnation) {
+	const bool is_responsive = owner->digest.heartbeat > 0;
+	if (is_responsive && owner->digest.incarnation != passed.owner_incarnation) {
 		// An earlier submission may have run there, so nobody can say that the request did not run.
 		_end_passed(p_id, refuse(verdict::MAY_HAVE_RUN, reason::ISSUER_GONE));
 		return;
--- a/main/serve/once_service.h
+++ b/main/serve/once_service.h
@@ -10,8 +10,8 @@
 #define ONCE_SERVICE_H
 
 #include "main/serve/fleet_service.h"
-#include "servers/once/claim_book.h"
-#include "servers/once/ticket_book.h"
+#include "servers/once/claim_registry.h"
+#include "servers/once/ticket_registry.h"
 
 #include <functional>
 #include <map>
@@ -37,7 +37,7 @@
 	std::optional<kept_outcome> answer; ///< The first outcome, here or from the owner.
 };
 
-/** Carries ticket_book and claim_book. A decision to run must be ended by on_ended. */
+/** Carries ticket_registry and claim_registry. A decision to run must be ended by on_ended. */
 class once_service {
 	using decision_hook = std::function<void(const keyed_decision &)>;
 
@@ -63,8 +63,8 @@
 
 	node_context &_context;
 	fleet_service &_fleet;
-	ticket_book _tickets;
-	claim_book _claims;
+	ticket_registry _tickets;
+	claim_registry _claims;
 	timer _append_timer;
 	timer _read_timer;
 	timer _sweep_timer;
--- a/main/serve/request_service.cpp
+++ b/main/serve/request_service.cpp
@@ -73,10 +73,10 @@
 	const std::string &pool = p_plan.stages[p_stage].pool;
 	const size_class size = get_size_class(p_plan, p_stage);
 	stage_estimate estimate;
-	estimate.usual = _times.estimate(pool, timed_part::WHOLE, size, MEDIAN, p_now);
-	estimate.unloaded = _times.estimate(pool, timed_part::UNLOADED, size, UNLOADED_QUANTILE, p_now);
-	estimate.slow = _times.estimate(pool, timed_part::WHOLE, size, SLOW_QUANTILE, p_now);
-	estimate.slow_first_token = _times.estimate(pool, timed_part::FIRST_TOKEN, size, SLOW_QUANTILE, p_now);
+	estimate.typical = _times.estimate(pool, time_kind::TOTAL, size, MEDIAN, p_now);
+	estimate.unloaded = _times.estimate(pool, time_kind::UNLOADED, size, UNLOADED_QUANTILE, p_now);
+	estimate.slow = _times.estimate(pool, time_kind::TOTAL, size, SLOW_QUANTILE, p_now);
+	estimate.slow_first_token = _times.estimate(pool, time_kind::FIRST_TOKEN, size, SLOW_QUANTILE, p_now);
 	return estimate;
 }
 
@@ -109,7 +109,7 @@
 		if (_router.count_open(plan.pool, plan.endpoints) == 0) {
 			return door_answer{ false, reason::NO_ENDPOINT, std::chrono::seconds(1) };
 		}
-		need += _times.estimate(plan.pool, timed_part::WHOLE, get_size_class(p_plan, stage), quantile, now);
+		need += _times.estimate(plan.pool, time_kind::TOTAL, get_size_class(p_plan, stage), quantile, now);
 		wait += _get_gate(plan.pool).estimate_wait(p_plan.customer, p_plan.weight);
 	}
 	if (now + need + wait > p_plan.deadline) {
@@ -145,7 +145,7 @@
 void request_service::abandon(const request_id &p_id) {
 	const auto found = _running.find(p_id);
 	if (found != _running.end()) {
-		_apply(*found->second, found->second->flow->on_caller_gone(event_loop::now()));
+		_apply(*found->second, found->second->flow->on_caller_disconnected(event_loop::now()));
 	}
 }
 
@@ -155,7 +155,7 @@
 	}
 }
 
-void request_service::_do(running_request &r_request, const ask_place &p_action) {
+void request_service::_do(running_request &r_request, const acquire_slot &p_action) {
 	const request_plan &plan = r_request.flow->get_plan();
 	queued_request waiting;
 	waiting.id = plan.id;
@@ -172,13 +172,13 @@
 	}
 }
 
-void request_service::_do(running_request &r_request, const return_place &p_action) {
+void request_service::_do(running_request &r_request, const release_slot &p_action) {
 	const request_plan &plan = r_request.flow->get_plan();
 	const std::string &pool = plan.stages[p_action.stage].pool;
 	_take_changes(pool, _get_gate(pool).leave(p_action.use, p_action.held, p_action.relative_latency, event_loop::now()));
 }
 
-void request_service::_do(running_request &r_request, const withdraw_place &p_action) {
+void request_service::_do(running_request &r_request, const cancel_slot_request &p_action) {
 	const request_plan &plan = r_request.flow->get_plan();
 	_get_gate(plan.stages[p_action.stage].pool).abandon(plan.id);
 }
@@ -191,7 +191,7 @@
 	for (const dropped_request &dropped : p_changes.expired) {
 		_context.loop.post([this, id = dropped.id] { _deny_place(id, reason::DEADLINE_UNREACHABLE); });
 	}
-	for (const dropped_request &dropped : p_changes.crowded_out) {
+	for (const dropped_request &dropped : p_changes.evicted_requests) {
 		_context.loop.post([this, id = dropped.id] { _deny_place(id, reason::QUEUE_FULL); });
 	}
 }
@@ -200,16 +200,16 @@
 	const auto found = _running.find(p_id);
 	if (found == _running.end() || found->second->flow->is_finished()) {
 		// It gave up in between; the place goes back unused.
-		_take_changes(p_pool, _get_gate(p_pool).leave(place_use::FAILED, duration::zero(), 1.0, event_loop::now()));
+		_take_changes(p_pool, _get_gate(p_pool).leave(slot_outcome::FAILED, duration::zero(), 1.0, event_loop::now()));
 		return;
 	}
-	_apply(*found->second, found->second->flow->on_place_given(event_loop::now()));
+	_apply(*found->second, found->second->flow->on_slot_granted(event_loop::now()));
 }
 
 void request_service::_deny_place(const request_id &p_id, reason p_reason) {
 	const auto found = _running.find(p_id);
 	if (found != _running.end()) {
-		_apply(*found->second, found->second->flow->on_place_denied(p_reason, event_loop::now()));
+		_apply(*found->second, found->second->flow->on_slot_denied(p_reason, event_loop::now()));
 	}
 }
 
@@ -277,13 +277,13 @@
 	observation.result = p_result;
 	observation.elapsed = now - p_call.started;
 	const bool is_whole = p_call.start == stream_start::FRESH;
-	observation.usual = is_whole ? _times.estimate(pool, timed_part::WHOLE, size, MEDIAN, now) : duration::zero();
+	observation.typical = is_whole ? _times.estimate(pool, time_kind::TOTAL, size, MEDIAN, now) : duration::zero();
 	_router.on_attempt_ended(p_call.endpoint, observation, now);
 	_context.metrics.on_attempt(pool, p_result);
 	_context.timeline.add(event_kind::ATTEMPT_ENDED, to_string(plan.id), p_call.vm, std::string(get_name(p_result.what)) + " " + std::string(get_name(p_result.why)), observation.elapsed);
 	if (p_result.what == verdict::COMPLETED && is_whole) {
-		_times.add(pool, timed_part::WHOLE, size, observation.elapsed, now);
-		_times.add(pool, timed_part::UNLOADED, size, observation.elapsed, now);
+		_times.add(pool, time_kind::TOTAL, size, observation.elapsed, now);
+		_times.add(pool, time_kind::UNLOADED, size, observation.elapsed, now);
 	}
 	if (p_result.why == reason::REFUSED_LEAVING) {
 		_fleet.on_endpoint_leaving();
@@ -322,7 +322,7 @@
 		call->second.has_token = true;
 		const duration elapsed = event_loop::now() - call->second.started;
 		const request_plan &plan = request.flow->get_plan();
-		_times.add(plan.stages[p_attempt.stage].pool, timed_part::FIRST_TOKEN, get_size_class(plan, p_attempt.stage), elapsed, event_loop::now());
+		_times.add(plan.stages[p_attempt.stage].pool, time_kind::FIRST_TOKEN, get_size_class(plan, p_attempt.stage), elapsed, event_loop::now());
 		_context.timeline.add(event_kind::FIRST_TOKEN, to_string(p_request), call->second.vm, "token " + std::to_string(p_offset), elapsed);
 	}
 	_apply(request, request.flow->on_token(p_attempt, p_offset, p_token, event_loop::now()));
@@ -371,7 +371,7 @@
 	_ledger.book(p_key, sum);
 }
 
-void request_service::_do(running_request &r_request, const book_cost &p_action) {
+void request_service::_do(running_request &r_request, const record_cost &p_action) {
 	book(_make_key(r_request.flow->get_plan(), p_action.stage, p_action.use), p_action.units);
 }
 
--- a/main/serve/request_service.h
+++ b/main/serve/request_service.h
@@ -96,13 +96,13 @@
 	flow_hooks _make_flow_hooks();
 	stage_estimate _estimate(const request_plan &p_plan, std::size_t p_stage, instant p_now) const;
 	void _apply(running_request &r_request, const std::vector<request_action> &p_actions);
-	void _do(running_request &r_request, const ask_place &p_action);
-	void _do(running_request &r_request, const return_place &p_action);
-	void _do(running_request &r_request, const withdraw_place &p_action);
+	void _do(running_request &r_request, const acquire_slot &p_action);
+	void _do(running_request &r_request, const release_slot &p_action);
+	void _do(running_request &r_request, const cancel_slot_request &p_action);
 	void _do(running_request &r_request, const start_attempt &p_action);
 	void _do(running_request &r_request, const cancel_attempt &p_action);
 	void _do(running_request &r_request, const forward_token &p_action);
-	void _do(running_request &r_request, const book_cost &p_action);
+	void _do(running_request &r_request, const record_cost &p_action);
 	void _do(running_request &r_request, const settle_cost &p_action);
 	void _do(running_request &r_request, const wake_at &p_action);
 	void _do(running_request &r_request, const finish_request &p_action);
--- a/misc/scripts/mutations.sh
+++ b/misc/scripts/mutations.sh
@@ -56,7 +56,7 @@
 mutate "deadline before the first byte" "a place given late is used" $flow "_slot_granted_at = p_now;
 	if (p_now >= _plan.deadline)" "_slot_granted_at = p_now;
 	if (false)" request_flow_test
-mutate "pool places" "a place is not given back on failure" $flow "r_actions.emplace_back(return_place{ _stage, get_slot_outcome(_last_failure)" "if (false) r_actions.emplace_back(return_place{ _stage, get_slot_outcome(_last_failure)" request_flow_test
+mutate "pool places" "a place is not given back on failure" $flow "r_actions.emplace_back(release_slot{ _stage, get_slot_outcome(_last_failure)" "if (false) r_actions.emplace_back(release_slot{ _stage, get_slot_outcome(_last_failure)" request_flow_test
 mutate "cancellation" "open attempts are left running at the end" $flow "r_actions.emplace_back(cancel_attempt{ attempt.id, attempt.settle_id, use });" "" request_flow_test
 mutate "leaving marks" "a list may bring an endpoint back" servers/routing/router.cpp "endpoint->leaving = p_listing.leaving || _is_marked_leaving(p_listing.vm, p_listing.incarnation);" "endpoint->leaving = p_listing.leaving;" routing_test
 mutate "ejection cap" "there is none" servers/routing/router.cpp "return static_cast<double>(ejected + 1) <= _settings.max_ejected_share * static_cast<double>(pool_size);" "return pool_size + ejected > 0;" routing_test
@@ -65,13 +65,13 @@
 mutate "queue bound" "there is none" servers/limits/fair_queue.cpp "if (_positions.size() < _capacity)" "if (true)" limits_test
 mutate "retry budget" "it is not spent" servers/limits/share_budget.cpp "_balance -= 1.0;" "" limits_test
 mutate "limit shares" "a cut-off zone's share is lent out" servers/limits/limit_share.cpp "if (!zone.has_valid_grant || p_rate <= 0.0)" "if (p_rate <= 0.0)" limits_test
-mutate "claims" "the last claim wins" servers/once/claim_book.cpp "const bool is_own = known.vm == _vm && known.incarnation == _incarnation;
+mutate "claims" "the last claim wins" servers/once/claim_registry.cpp "const bool is_own = known.vm == _vm && known.incarnation == _incarnation;
 	if (is_own) {" "const bool is_own = true;
 	if (is_own) {" once_test
-mutate "claims" "a lost answer counts as not done, and the claim is made again" servers/once/claim_book.cpp "if (p_result != append_result::NOT_DONE)" "if (p_result == append_result::DONE)" once_test
-mutate "claims" "records lost unread are ignored" servers/once/claim_book.cpp "if (p_earliest > _position) {" "if (false) {" once_test
-mutate "tickets" "used ones are forgotten at once" servers/once/ticket_book.cpp "if (p_wall >= p_ticket.expires_at)" "if (false)" once_test
-mutate "tickets" "the customer is not part of the code" servers/once/ticket_book.cpp "std::string text = p_customer + " "std::string text = std::string() + " once_test
+mutate "claims" "a lost answer counts as not done, and the claim is made again" servers/once/claim_registry.cpp "if (p_result != append_result::NOT_DONE)" "if (p_result == append_result::DONE)" once_test
+mutate "claims" "records lost unread are ignored" servers/once/claim_registry.cpp "if (p_earliest > _position) {" "if (false) {" once_test
+mutate "tickets" "used ones are forgotten at once" servers/once/ticket_registry.cpp "if (p_wall >= p_ticket.expires_at)" "if (false)" once_test
+mutate "tickets" "the customer is not part of the code" servers/once/ticket_registry.cpp "std::string text = p_customer + " "std::string text = std::string() + " once_test
 mutate "configuration fold" "the base is not compared" servers/configuration/configuration_fold.cpp "if (p_change->base != _folded.version)" "if (false)" configuration_test
 mutate "configuration fold" "records lost unread are ignored" servers/configuration/configuration_fold.cpp "if (p_earliest > _position) {" "if (false) {" configuration_test
 mutate "configuration fold" "changes around a checkpoint are forgotten" servers/configuration/configuration_fold.cpp "if (kept.offset >= p_position)" "if (false)" configuration_test
@@ -97,11 +97,11 @@
 mutate "gateway: cancellation" "a caller that goes leaves its request running" $request "if (_exchange != 0) {
 		_services.context.channels.cancel(_exchange);
 		_exchange = 0;
-		_observe(outcome{ verdict::MAY_HAVE_RUN, reason::CALLER_GONE });" "if (_exchange != 0) {
+		_observe(outcome{ verdict::MAY_HAVE_RUN, reason::CALLER_DISCONNECTED });" "if (_exchange != 0) {
 		_exchange = 0;
-		_observe(outcome{ verdict::MAY_HAVE_RUN, reason::CALLER_GONE });" gateway_test
+		_observe(outcome{ verdict::MAY_HAVE_RUN, reason::CALLER_DISCONNECTED });" gateway_test
 mutate "gateway: leaving marks" "an older entry brings an endpoint back" servers/gateway/endpoint_directory.cpp "entry.listing.leaving = _has_left(entry.listing.get_identity());" "" gateway_state_test
-mutate "gateway: entries that went" "peers' words are not heard" main/gateway/gateway_fleet.cpp "_endpoints.mark_gone(endpoint, p_vm);" "" gateway_fleet_test
+mutate "gateway: entries that went" "peers' words are not heard" main/gateway/gateway_fleet.cpp "_endpoints.mark_removed(endpoint, p_vm);" "" gateway_fleet_test
 mutate "gateway: outage of the store" "missing entries are dropped at once" servers/gateway/endpoint_directory.cpp "if (_is_after_outage(p_now) && !found->second.listing.leaving)" "if (false)" gateway_state_test
 mutate "gateway: versions" "an older configuration replaces a newer one" platform/configuration_reader.cpp "if (_current && offered->version <= _current->version)" "if (false)" gateway_test
 mutate "gateway: retry budget" "it is not spent" servers/gateway/retry_window.cpp "_get_bucket(p_bounds, p_now).repeats += 1.0;" "" gateway_state_test
@@ -115,9 +115,9 @@
 mutate "gateway: lost dispatcher" "its work is not handed to another" main/gateway/stage_dispatcher.cpp "_assign(id, p_vm);" "" gateway_fleet_test
 memory=servers/gateway/crash_memory.cpp
 mutate "requests that end endpoints" "they are never tried" $memory "verdict.crashes < CRASHES_TO_TRY" "verdict.crashes < 100" crash_memory_test
-mutate "requests that end endpoints" "trials have no end" $memory "verdict.trials >= MOST_TRIALS" "verdict.trials >= 100" crash_memory_test
+mutate "requests that end endpoints" "trials have no end" $memory "verdict.trials >= MAX_TRIALS" "verdict.trials >= 100" crash_memory_test
 mutate "requests that end endpoints" "two trials at once" $memory "return p_entry.first != p_trial && (is_sent_and_open || comes_first);" "return false;" crash_memory_test
-mutate "requests that end endpoints" "a connection that ends alone blames its run" servers/gateway/lost_runs.cpp "if (p_end == probe_end::REFUSED) {" "if (p_end != probe_end::SILENT) {" lost_runs_test
+mutate "requests that end endpoints" "a connection that ends alone blames its run" servers/gateway/interrupted_runs.cpp "if (p_end == probe_end::REFUSED) {" "if (p_end != probe_end::SILENT) {" lost_runs_test
 mutate "nodes that stood still" "peers are silent by one's own absence" servers/membership/peer_contacts.cpp "*last_time == instant{} ? duration::zero() : p_stall" "duration::zero()" gateway_suspension_test
 mutate "nodes that stood still" "requests are decided on before what changed is known" main/gateway/gateway.cpp "return !_configuration.is_known_since(_stalled_until) || !_endpoints.is_known_since(_stalled_until);" "return false;" gateway_suspension_test
 mutate "nodes that stood still" "silence is judged before what came is read" drivers/event_loop.cpp "	_is_reading_first = true;
@@ -129,23 +129,23 @@
 mutate "evacuations" "an own reading that lags behind counts" servers/gateway/evacuation_table.cpp "if (record.offset < _known.offset) {" "if (false) {" evacuation_table_test
 mutate "evacuated zones" "they are chosen when nothing else is left" servers/routing/endpoint_state.h "!drained && !evacuated; }" "!drained; }" gateway_evacuation_test
 mutate "evacuated zones" "stage calls go on" main/gateway/stage_dispatcher.cpp "return shard.has(p_listing.vm) && !_evacuated_zones.contains(p_listing.zone);" "return shard.has(p_listing.vm);" gateway_evacuation_test
-mutate "work of a node that is not told" "it is done by itself at once" servers/gateway/dispatch_choice.cpp "p_wait.untold < DISPATCHER_LIST_WAIT" "p_wait.untold < duration::zero()" dispatch_choice_test
-mutate "work of a node that is not told" "it waits for good" servers/gateway/dispatch_choice.cpp "&& p_wait.untold < DISPATCHER_LIST_WAIT" "" dispatch_choice_test
+mutate "work of a node that is not told" "it is done by itself at once" servers/gateway/dispatcher_selection.cpp "p_wait.untold < DISPATCHER_LIST_WAIT" "p_wait.untold < duration::zero()" dispatch_choice_test
+mutate "work of a node that is not told" "it waits for good" servers/gateway/dispatcher_selection.cpp "&& p_wait.untold < DISPATCHER_LIST_WAIT" "" dispatch_choice_test
 mutate "roll-out" "a report is of an earlier window than what is told beside it" servers/rollout/rollout.cpp "	report.answers.advance_to(_record.get_index());
 " "" rollout_test
 mutate "evacuated zones" "nothing is refused at once" main/gateway/admission.cpp "if (closed.empty()) {" "if (true) {" gateway_evacuation_test
-mutate "cold endpoints" "each node has all that they bear" servers/gateway/sender_places.cpp "return rank ? p_slots / nodes.size() + (*rank < p_slots % nodes.size() ? 1 : 0) : 0;" "return rank ? p_slots : 0;" endpoint_limits_test
-mutate "cold endpoints" "a node that knows no others sends" servers/gateway/sender_places.cpp "if (!_is_settled || !_is_own_zone(p_zone) || p_now - _first_view_at < SLOT_ACTIVATION_DELAY) {" "if (!_is_own_zone(p_zone) || p_now - _first_view_at < SLOT_ACTIVATION_DELAY) {" endpoint_limits_test
-mutate "cold endpoints" "a place counts at once" servers/gateway/sender_places.cpp "min_slots = counts ? std::min(min_slots, _count_in(view, p_endpoint, p_slots)) : min_slots;" "min_slots = counts ? _count_in(view, p_endpoint, p_slots) : min_slots;" endpoint_limits_test
+mutate "cold endpoints" "each node has all that they bear" servers/gateway/sender_slots.cpp "return rank ? p_slots / nodes.size() + (*rank < p_slots % nodes.size() ? 1 : 0) : 0;" "return rank ? p_slots : 0;" endpoint_limits_test
+mutate "cold endpoints" "a node that knows no others sends" servers/gateway/sender_slots.cpp "if (!_is_settled || !_is_own_zone(p_zone) || p_now - _first_view_at < SLOT_ACTIVATION_DELAY) {" "if (!_is_own_zone(p_zone) || p_now - _first_view_at < SLOT_ACTIVATION_DELAY) {" endpoint_limits_test
+mutate "cold endpoints" "a place counts at once" servers/gateway/sender_slots.cpp "min_slots = counts ? std::min(min_slots, _count_in(view, p_endpoint, p_slots)) : min_slots;" "min_slots = counts ? _count_in(view, p_endpoint, p_slots) : min_slots;" endpoint_limits_test
 mutate "named limits" "they are not asked for" servers/gateway/endpoint_limits.cpp "} else if (advertised) {" "} else if (false) {" named_limits_test
-mutate "named limits" "an answer without one never ends it" servers/gateway/named_limits.cpp "p_is_signed && p_sent_at > known->second.at" "false" named_limits_test
-mutate "named limits" "a late answer without one ends it" servers/gateway/named_limits.cpp "p_is_signed && p_sent_at > known->second.at" "p_is_signed" named_limits_test
-mutate "named limits" "older news counts" servers/gateway/named_limits.cpp "if (p_record.at <= known->second.at +" "if (false && p_record.at <= known->second.at +" named_limits_test
+mutate "named limits" "an answer without one never ends it" servers/gateway/advertised_limits.cpp "p_is_signed && p_sent_at > known->second.at" "false" named_limits_test
+mutate "named limits" "a late answer without one ends it" servers/gateway/advertised_limits.cpp "p_is_signed && p_sent_at > known->second.at" "p_is_signed" named_limits_test
+mutate "named limits" "older news counts" servers/gateway/advertised_limits.cpp "if (p_record.at <= known->second.at +" "if (false && p_record.at <= known->second.at +" named_limits_test
 mutate "named limits" "other nodes are not told" main/gateway/send_guard.cpp "_relay.add_own(record);" "" gateway_limits_test
-mutate "named limits" "stage calls are not asked for" main/gateway/pool_caller.cpp " && _guard.may_send(p_replica, sender_part::WHOLE, p_now);" " && p_now > instant{};" gateway_limits_test
+mutate "named limits" "stage calls are not asked for" main/gateway/pool_caller.cpp " && _guard.may_send(p_replica, sender_share::FULL, p_now);" " && p_now > instant{};" gateway_limits_test
 mutate "leaving by word" "it is not heeded" main/gateway/send_guard.cpp "_endpoints.mark_leaving(p_endpoint, \"answer\");" "" gateway_limits_test
 mutate "rest" "it is not heeded" servers/gateway/endpoint_limits.cpp "if (_backoffs.get_left(p_endpoint, p_now) > duration::zero()) {" "if (false) {" endpoint_rests_test
-mutate "rest" "callers are told another time" main/gateway/admission.cpp "const bool is_backing_off = !prospect.wait && prospect.rest_left;" "const bool is_backing_off = false;" gateway_limits_test
+mutate "rest" "callers are told another time" main/gateway/admission.cpp "const bool is_backing_off = !prospect.wait && prospect.backoff_left;" "const bool is_backing_off = false;" gateway_limits_test
 mutate "home regions" "they bind only while something else is left" servers/routing/router.cpp "return p_endpoint.is_open() && is_admitted &&" "return p_endpoint.is_open() &&" gateway_places_test
 mutate "log eras" "an answer of another era is read on from" main/gateway/topic_reader.cpp "(is_other_era && !p_is_whole)" "false" gateway_era_test
 mutate "log eras" "what had gone comes back" servers/gateway/endpoint_directory.cpp "return is_recent && removed != _removed_at.end() && removed->second <= _era_at;" "return false;" gateway_era_test
--- a/misc/scripts/soak_mutations.sh
+++ b/misc/scripts/soak_mutations.sh
@@ -59,8 +59,8 @@
 }
 
 request=main/gateway/gateway_request.cpp
-mutate "rested connections" "what crosses their end is read and thrown away" drivers/caller_connection.cpp "void caller_connection::end_unread(connection_end p_end) {
-" "void caller_connection::end_unread(connection_end p_end) {
+mutate "rested connections" "what crosses their end is read and thrown away" drivers/caller_connection.cpp "void caller_connection::close_without_reading(connection_end p_end) {
+" "void caller_connection::close_without_reading(connection_end p_end) {
 	_linger(p_end);
 	if (_phase == phase::LINGERING) {
 		return;
@@ -80,7 +80,7 @@
 			_on_failure" "if (false) {
 			_on_failure"
 mutate "not run" "a refusal is given though something may have run" $request "if (_tally.get_verdict() != verdict::NOT_RUN || _stages.may_have_run() || _answer_started)" "if (_answer_started)"
-mutate "whole answers" "one that was broken off is passed on as whole" $request "if (p_end != answer_end::WHOLE) {
+mutate "whole answers" "one that was broken off is passed on as whole" $request "if (p_end != answer_end::COMPLETE) {
 		_on_failure" "if (false) {
 		_on_failure"
 mutate "streams" "half an event stays before another endpoint goes on" main/gateway/received_answer.cpp "	_events.restart();" ""
--- a/servers/configuration/configuration_fold.cpp
+++ b/servers/configuration/configuration_fold.cpp
@@ -186,7 +186,7 @@
 	return _in_force.version > version_before;
 }
 
-bool configuration_fold::take_snapshot(const configuration_snapshot &p_snapshot) {
+bool configuration_fold::apply_snapshot(const configuration_snapshot &p_snapshot) {
 	const std::uint64_t version_before = _in_force.version;
 	const version_state state{ p_snapshot.version, p_snapshot.change_id, p_snapshot.document };
 	try {
--- a/servers/configuration/configuration_fold.h
+++ b/servers/configuration/configuration_fold.h
@@ -122,7 +122,7 @@
 	 * Applies a peer's snapshot. A snapshot that fails the checks is ignored and counted as invalid.
 	 * @return whether the version in force increased.
 	 */
-	bool take_snapshot(const configuration_snapshot &p_snapshot);
+	bool apply_snapshot(const configuration_snapshot &p_snapshot);
 
 	/** Offset to read next. */
 	std::uint64_t get_position() const { return _position; }
--- a/servers/gateway/named_limits.cpp
+++ b/servers/gateway/advertised_limits.cpp
@@ -1,12 +1,12 @@
 /*
- * calicoscale: named_limits.cpp
+ * calicoscale: advertised_limits.cpp
  * Limits that endpoints advertise in their answers, and how long each is valid.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#include "servers/gateway/named_limits.h"
+#include "servers/gateway/advertised_limits.h"
 
 #include "core/digest.h"
 #include "core/enum_names.h"
@@ -28,7 +28,7 @@
 
 constexpr std::array<enum_name<limit_change>, static_cast<std::size_t>(limit_change::COUNT)> CHANGE_NAMES{ {
 		{ limit_change::NONE, "none" },
-		{ limit_change::NAMED, "named" },
+		{ limit_change::ADVERTISED, "named" },
 		{ limit_change::CHANGED, "changed" },
 		{ limit_change::RENEWED, "renewed" },
 		{ limit_change::ENDED, "ended" },
@@ -40,7 +40,7 @@
 	return find_name(CHANGE_NAMES, p_change);
 }
 
-limit_change named_limits::_apply(const limit_record &p_record) {
+limit_change advertised_limits::_apply(const limit_record &p_record) {
 	const bool was_known = _limits.contains(p_record.endpoint);
 	if (!was_known && !p_record.rate) {
 		return limit_change::NONE;
@@ -54,18 +54,18 @@
 	}
 	if (!before) {
 		limit.first_named_at = p_record.at;
-		return limit_change::NAMED;
+		return limit_change::ADVERTISED;
 	}
 	return *before == *p_record.rate ? limit_change::RENEWED : limit_change::CHANGED;
 }
 
-void named_limits::_queue_update(const endpoint_identity &p_endpoint, instant p_now) {
+void advertised_limits::_queue_update(const endpoint_identity &p_endpoint, instant p_now) {
 	known_limit &limit = _limits.at(p_endpoint);
 	limit.reported_at = p_now;
 	_updates.push_back(limit_record{ p_endpoint, limit.rate, limit.at });
 }
 
-limit_change named_limits::on_answer(const endpoint_identity &p_endpoint, const endpoint_notice &p_notice, bool p_is_signed, instant p_sent_at, instant p_now) {
+limit_change advertised_limits::on_answer(const endpoint_identity &p_endpoint, const endpoint_notice &p_notice, bool p_is_signed, instant p_sent_at, instant p_now) {
 	if (p_notice.limit == limit_statement::UNREADABLE) {
 		return limit_change::NONE;
 	}
@@ -76,17 +76,17 @@
 			return limit_change::NONE;
 		}
 	}
-	const std::optional<double> rate = p_notice.limit == limit_statement::NAMED ? std::optional(p_notice.rate_limit) : std::nullopt;
+	const std::optional<double> rate = p_notice.limit == limit_statement::ADVERTISED ? std::optional(p_notice.rate_limit) : std::nullopt;
 	const limit_change change = _apply(limit_record{ p_endpoint, rate, p_now });
 	const duration since_report = p_now - _limits.at(p_endpoint).reported_at;
-	const bool is_begin_or_end = change == limit_change::NAMED || change == limit_change::ENDED;
+	const bool is_begin_or_end = change == limit_change::ADVERTISED || change == limit_change::ENDED;
 	if (is_begin_or_end || since_report >= RENEWAL || (change == limit_change::CHANGED && since_report >= MIN_CHANGE_INTERVAL)) {
 		_queue_update(p_endpoint, p_now);
 	}
 	return change;
 }
 
-limit_change named_limits::take(const limit_record &p_record, instant p_now) {
+limit_change advertised_limits::take(const limit_record &p_record, instant p_now) {
 	const auto known = _limits.find(p_record.endpoint);
 	if (known != _limits.end()) {
 		const bool is_same = known->second.rate == p_record.rate;
@@ -101,23 +101,23 @@
 	return change;
 }
 
-std::optional<double> named_limits::find_rate(const endpoint_identity &p_endpoint) const {
+std::optional<double> advertised_limits::find_rate(const endpoint_identity &p_endpoint) const {
 	const auto known = _limits.find(p_endpoint);
 	return known == _limits.end() ? std::nullopt : known->second.rate;
 }
 
-instant named_limits::_get_confirmed_until(const endpoint_identity &p_endpoint, const known_limit &p_limit) const {
+instant advertised_limits::_get_confirmed_until(const endpoint_identity &p_endpoint, const known_limit &p_limit) const {
 	const std::uint64_t score = hash_bytes(_vm, hash_bytes(p_endpoint.vm, p_endpoint.incarnation));
 	const double phase = static_cast<double>(score) / static_cast<double>(std::numeric_limits<std::uint64_t>::max());
 	return p_limit.at + LIFETIME + from_seconds(to_seconds(LIFETIME) * phase);
 }
 
-bool named_limits::is_confirmed(const endpoint_identity &p_endpoint, instant p_now) const {
+bool advertised_limits::is_confirmed(const endpoint_identity &p_endpoint, instant p_now) const {
 	const auto known = _limits.find(p_endpoint);
 	return known != _limits.end() && p_now < _get_confirmed_until(p_endpoint, known->second);
 }
 
-std::vector<endpoint_identity> named_limits::forget_old(instant p_now) {
+std::vector<endpoint_identity> advertised_limits::forget_old(instant p_now) {
 	std::vector<endpoint_identity> removed;
 	std::erase_if(_limits, [&removed, p_now](const auto &p_entry) {
 		const known_limit &limit = p_entry.second;
@@ -130,13 +130,13 @@
 	return removed;
 }
 
-std::vector<limit_record> named_limits::take_news() {
+std::vector<limit_record> advertised_limits::take_updates() {
 	std::vector<limit_record> updates;
 	updates.swap(_updates);
 	return updates;
 }
 
-std::vector<limit_record> named_limits::get_records(std::size_t p_max) const {
+std::vector<limit_record> advertised_limits::get_records(std::size_t p_max) const {
 	std::vector<limit_record> records;
 	for (const auto &[endpoint, limit] : _limits) {
 		if (records.size() < p_max) {
@@ -146,7 +146,7 @@
 	return records;
 }
 
-std::size_t named_limits::count() const {
+std::size_t advertised_limits::count() const {
 	return static_cast<std::size_t>(std::count_if(_limits.begin(), _limits.end(), [](const auto &p_entry) { return p_entry.second.rate.has_value(); }));
 }
 
--- a/servers/gateway/named_limits.h
+++ b/servers/gateway/advertised_limits.h
@@ -1,13 +1,13 @@
 /*
- * calicoscale: named_limits.h
+ * calicoscale: advertised_limits.h
  * Limits that endpoints advertise in their answers, and how long each is valid.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#ifndef NAMED_LIMITS_H
-#define NAMED_LIMITS_H
+#ifndef ADVERTISED_LIMITS_H
+#define ADVERTISED_LIMITS_H
 
 #include "servers/routing/endpoint_identity.h"
 #include "servers/routing/endpoint_notice.h"
@@ -29,7 +29,7 @@
 /** How the known limit of an endpoint changed. */
 enum class limit_change {
 	NONE,
-	NAMED, ///< It has a limit, and none was known before.
+	ADVERTISED, ///< It has a limit, and none was known before.
 	CHANGED, ///< It has another limit than was known.
 	RENEWED, ///< It still has the known limit.
 	ENDED, ///< It no longer has a limit.
@@ -48,7 +48,7 @@
  * occasional request. The phase differs between nodes, so that the first one to check can report the result to the others. The
  * limit is removed if it stays unconfirmed.
  */
-class named_limits {
+class advertised_limits {
 	struct known_limit {
 		std::optional<double> rate; ///< Empty after the limit ended; the entry is kept so that an older report doesn't restore it.
 		instant at{}; ///< When the newest answer was received.
@@ -69,7 +69,7 @@
 	/** Interval at which an unchanged limit is reported again while answers advertise it. */
 	static constexpr duration RENEWAL = std::chrono::seconds(5);
 
-	explicit named_limits(std::string p_vm) :
+	explicit advertised_limits(std::string p_vm) :
 			_vm(std::move(p_vm)) {}
 
 	/**
@@ -86,7 +86,7 @@
 	std::optional<double> find_rate(const endpoint_identity &p_endpoint) const;
 
 	/** Returns when an endpoint first advertised its limit. Call it only for endpoints that have one. */
-	instant get_named_at(const endpoint_identity &p_endpoint) const { return _limits.at(p_endpoint).first_named_at; }
+	instant get_advertised_since(const endpoint_identity &p_endpoint) const { return _limits.at(p_endpoint).first_named_at; }
 
 	/** Returns whether the limit was reported recently enough. */
 	bool is_confirmed(const endpoint_identity &p_endpoint, instant p_now) const;
@@ -95,7 +95,7 @@
 	std::vector<endpoint_identity> forget_old(instant p_now);
 
 	/** Returns the updates since the last call, which are sent to other nodes. */
-	std::vector<limit_record> take_news();
+	std::vector<limit_record> take_updates();
 
 	/** Returns at most p_max known limits, for a node that has just started. */
 	std::vector<limit_record> get_records(std::size_t p_max) const;
@@ -108,4 +108,4 @@
 
 } // namespace calicoscale
 
-#endif // NAMED_LIMITS_H
+#endif // ADVERTISED_LIMITS_H
--- a/servers/gateway/call_candidates.cpp
+++ b/servers/gateway/call_candidates.cpp
@@ -28,7 +28,7 @@
 	}
 }
 
-const call_candidate *call_candidates::find_first_with_room(const std::vector<call_candidate> &p_candidates, double p_bytes) {
+const call_candidate *call_candidates::find_first_with_capacity(const std::vector<call_candidate> &p_candidates, double p_bytes) {
 	const auto found = std::find_if(p_candidates.begin(), p_candidates.end(), [p_bytes](const call_candidate &p_candidate) { return p_bytes <= p_candidate.room; });
 	return found == p_candidates.end() ? nullptr : &*found;
 }
--- a/servers/gateway/call_candidates.h
+++ b/servers/gateway/call_candidates.h
@@ -55,7 +55,7 @@
 	const std::vector<zone_candidates> &get_zones() const { return _zones; }
 
 	/** Returns the first candidate with enough free memory for a result of p_bytes, or nullptr. */
-	static const call_candidate *find_first_with_room(const std::vector<call_candidate> &p_candidates, double p_bytes);
+	static const call_candidate *find_first_with_capacity(const std::vector<call_candidate> &p_candidates, double p_bytes);
 };
 
 } // namespace calicoscale
--- a/servers/gateway/commitment_table.cpp
+++ b/servers/gateway/commitment_table.cpp
@@ -65,28 +65,28 @@
 	work = std::max(duration::zero(), work - p_work);
 }
 
-void commitment_table::take_peer(const std::string &p_node, const std::vector<pool_commitment> &p_commitments) {
+void commitment_table::set_peer(const std::string &p_node, const std::vector<pool_commitment> &p_commitments) {
 	_followers.erase(p_node);
 	_peers[p_node] = make_map(p_commitments);
 }
 
-void commitment_table::take_follower(const std::string &p_node, const std::vector<pool_commitment> &p_commitments) {
+void commitment_table::set_follower(const std::string &p_node, const std::vector<pool_commitment> &p_commitments) {
 	_peers.erase(p_node);
 	_followers[p_node] = make_map(p_commitments);
 }
 
-void commitment_table::take_total(const std::vector<pool_commitment> &p_commitments, const std::vector<pool_commitment> &p_own_reported) {
+void commitment_table::set_total(const std::vector<pool_commitment> &p_commitments, const std::vector<pool_commitment> &p_own_reported) {
 	_total = make_map(p_commitments);
 	_own_in_total = make_map(p_own_reported);
 	_peers.clear();
 }
 
-void commitment_table::forget_total() {
+void commitment_table::clear_total() {
 	_total.clear();
 	_own_in_total.clear();
 }
 
-void commitment_table::forget_peer(const std::string &p_node) {
+void commitment_table::remove_peer(const std::string &p_node) {
 	_peers.erase(p_node);
 	_followers.erase(p_node);
 }
--- a/servers/gateway/commitment_table.h
+++ b/servers/gateway/commitment_table.h
@@ -63,22 +63,22 @@
 	void remove(const std::string &p_pool, int p_priority, duration p_work);
 
 	/** Replaces what another hub reported for itself and its followers. */
-	void take_peer(const std::string &p_node, const std::vector<pool_commitment> &p_commitments);
+	void set_peer(const std::string &p_node, const std::vector<pool_commitment> &p_commitments);
 
 	/** Replaces what a follower reported. */
-	void take_follower(const std::string &p_node, const std::vector<pool_commitment> &p_commitments);
+	void set_follower(const std::string &p_node, const std::vector<pool_commitment> &p_commitments);
 
 	/**
 	 * Applies the sum over all nodes that a hub reported.
 	 * @param p_own_reported what this node had reported to the hub before, which the sum includes.
 	 */
-	void take_total(const std::vector<pool_commitment> &p_commitments, const std::vector<pool_commitment> &p_own_reported);
+	void set_total(const std::vector<pool_commitment> &p_commitments, const std::vector<pool_commitment> &p_own_reported);
 
 	/** Discards the hub's sum; for a hub that has received the reports of all others and adds them up itself. */
-	void forget_total();
+	void clear_total();
 
 	/** Removes the reports of a node that failed or now reports through another hub. */
-	void forget_peer(const std::string &p_node);
+	void remove_peer(const std::string &p_node);
 
 	/** Sets the number of shards whose capacities are reported separately. */
 	void set_shards(const std::string &p_pool, std::size_t p_count) { _shards[p_pool] = p_count; }
--- a/servers/gateway/crash_archive.cpp
+++ b/servers/gateway/crash_archive.cpp
@@ -20,7 +20,7 @@
 
 constexpr std::size_t DIGITS = 16;
 /** Records read from one value; a value written by this program never has more. */
-constexpr std::size_t MOST_RECORDS = 64;
+constexpr std::size_t MAX_RECORDS = 64;
 
 std::optional<request_fingerprint> read_key(std::string_view p_key) {
 	if (p_key.size() != 3 * DIGITS) {
@@ -35,10 +35,10 @@
 	return request_fingerprint{ *target, half_digest{ *high, *low } };
 }
 
-std::optional<crash_news> find_event(std::string_view p_name) {
-	for (std::size_t i = 0; i < static_cast<std::size_t>(crash_news::COUNT); i++) {
-		if (get_name(static_cast<crash_news>(i)) == p_name) {
-			return static_cast<crash_news>(i);
+std::optional<crash_event> find_event(std::string_view p_name) {
+	for (std::size_t i = 0; i < static_cast<std::size_t>(crash_event::COUNT); i++) {
+		if (get_name(static_cast<crash_event>(i)) == p_name) {
+			return static_cast<crash_event>(i);
 		}
 	}
 	return std::nullopt;
@@ -56,7 +56,7 @@
 	if (second == std::string_view::npos) {
 		return std::nullopt;
 	}
-	const std::optional<crash_news> event = find_event(p_text.substr(0, first));
+	const std::optional<crash_event> event = find_event(p_text.substr(0, first));
 	const std::optional<std::uint64_t> subject = parse_hex(p_text.substr(first + 1, second - first - 1));
 	const std::optional<unix_milliseconds> wall = read_wall(p_text.substr(second + 1));
 	if (!event || !subject || !wall) {
@@ -85,7 +85,7 @@
 std::vector<crash_record> read_crash_records(std::string_view p_key, std::string_view p_value, const moment &p_now) {
 	std::vector<crash_record> records;
 	const std::optional<request_fingerprint> run = read_key(p_key);
-	while (run && !p_value.empty() && records.size() < MOST_RECORDS) {
+	while (run && !p_value.empty() && records.size() < MAX_RECORDS) {
 		const std::size_t blank = p_value.find(' ');
 		const std::optional<crash_record> record = read_record(*run, p_value.substr(0, blank), p_now);
 		if (record) {
--- a/servers/gateway/crash_memory.cpp
+++ b/servers/gateway/crash_memory.cpp
@@ -17,20 +17,20 @@
 
 namespace {
 
-constexpr std::array<enum_name<crash_news>, 6> EVENT_NAMES{ {
-		{ crash_news::ENDED_ENDPOINT, "ended_endpoint" },
-		{ crash_news::TRIAL_ASKED, "trial_asked" },
-		{ crash_news::TRIAL_DROPPED, "trial_dropped" },
-		{ crash_news::TRIAL_SENT, "trial_sent" },
-		{ crash_news::TRIAL_ENDED, "trial_ended" },
-		{ crash_news::SERVED, "served" },
+constexpr std::array<enum_name<crash_event>, 6> EVENT_NAMES{ {
+		{ crash_event::CRASHED_ENDPOINT, "ended_endpoint" },
+		{ crash_event::TRIAL_REQUESTED, "trial_asked" },
+		{ crash_event::TRIAL_DROPPED, "trial_dropped" },
+		{ crash_event::TRIAL_SENT, "trial_sent" },
+		{ crash_event::TRIAL_ENDED, "trial_ended" },
+		{ crash_event::SERVED, "served" },
 } };
 
-constexpr std::array<enum_name<crash_standing>, 4> STATE_NAMES{ {
-		{ crash_standing::FREE, "free" },
-		{ crash_standing::SUSPECT, "suspect" },
-		{ crash_standing::ON_TRIAL, "on_trial" },
-		{ crash_standing::HELD_BACK, "held_back" },
+constexpr std::array<enum_name<crash_state>, 4> STATE_NAMES{ {
+		{ crash_state::FREE, "free" },
+		{ crash_state::SUSPECT, "suspect" },
+		{ crash_state::ON_TRIAL, "on_trial" },
+		{ crash_state::BLOCKED, "held_back" },
 } };
 
 /** Lifetime of the entry of a cleared request; after it no delayed event from before the clearing can arrive. */
@@ -43,21 +43,21 @@
 constexpr duration TRIAL_RETRY_AFTER = std::chrono::seconds(1);
 
 /** Returns whether a trial has been sent, whatever its outcome. */
-bool is_sent(crash_news p_state) {
-	return p_state == crash_news::TRIAL_SENT || p_state == crash_news::TRIAL_ENDED;
+bool is_sent(crash_event p_state) {
+	return p_state == crash_event::TRIAL_SENT || p_state == crash_event::TRIAL_ENDED;
 }
 
-bool is_trial(crash_news p_news) {
-	return p_news != crash_news::ENDED_ENDPOINT && p_news != crash_news::SERVED;
+bool is_trial(crash_event p_news) {
+	return p_news != crash_event::CRASHED_ENDPOINT && p_news != crash_event::SERVED;
 }
 
 } // namespace
 
-std::string_view get_name(crash_news p_news) {
+std::string_view get_name(crash_event p_news) {
 	return find_name(EVENT_NAMES, p_news);
 }
 
-std::string_view get_name(crash_standing p_standing) {
+std::string_view get_name(crash_state p_standing) {
 	return find_name(STATE_NAMES, p_standing);
 }
 
@@ -72,8 +72,8 @@
 
 const crash_memory::trial *crash_memory::entry::find_open(instant p_now) const {
 	for (const auto &[id, known] : trials) {
-		const bool is_open = known.state == crash_news::TRIAL_ASKED || known.state == crash_news::TRIAL_SENT;
-		if (is_open && p_now - known.at <= LONGEST_TRIAL) {
+		const bool is_open = known.state == crash_event::TRIAL_REQUESTED || known.state == crash_event::TRIAL_SENT;
+		if (is_open && p_now - known.at <= TRIAL_TIMEOUT) {
 			return &known;
 		}
 	}
@@ -106,7 +106,7 @@
 
 bool crash_memory::take(const crash_record &p_record, instant p_now) {
 	const auto known = _entries.find(p_record.run);
-	if (known == _entries.end() && p_record.news == crash_news::SERVED) {
+	if (known == _entries.end() && p_record.news == crash_event::SERVED) {
 		return false;
 	}
 	if (p_now - p_record.at > LIFETIME) {
@@ -120,16 +120,16 @@
 	if (target.served_at && p_record.at <= *target.served_at) {
 		return false;
 	}
-	bool is_news = false;
-	if (p_record.news == crash_news::SERVED) {
-		is_news = _apply_served(target, p_record);
+	bool is_new = false;
+	if (p_record.news == crash_event::SERVED) {
+		is_new = _apply_served(target, p_record);
 	} else if (is_trial(p_record.news)) {
-		is_news = _apply_trial(target, p_record);
+		is_new = _apply_trial(target, p_record);
 	} else {
-		is_news = target.crashes.size() < MAX_KEPT && target.crashes.try_emplace(p_record.subject, p_record.at).second;
+		is_new = target.crashes.size() < MAX_KEPT && target.crashes.try_emplace(p_record.subject, p_record.at).second;
 	}
 	target.newest = std::max(target.newest, p_record.at);
-	return is_news;
+	return is_new;
 }
 
 crash_verdict crash_memory::judge(const request_fingerprint &p_run, instant p_now) const {
@@ -138,17 +138,17 @@
 		return {};
 	}
 	const entry &known = found->second;
-	crash_verdict verdict{ crash_standing::SUSPECT, known.crashes.size(), known.count_sent_trials(), duration::zero() };
+	crash_verdict verdict{ crash_state::SUSPECT, known.crashes.size(), known.count_sent_trials(), duration::zero() };
 	if (verdict.crashes < CRASHES_TO_TRY) {
 		return verdict;
 	}
-	verdict.standing = crash_standing::HELD_BACK;
-	if (verdict.trials >= MOST_TRIALS) {
+	verdict.standing = crash_state::BLOCKED;
+	if (verdict.trials >= MAX_TRIALS) {
 		verdict.retry_after = known.newest + LIFETIME - p_now;
 	} else if (known.find_open(p_now) != nullptr) {
 		verdict.retry_after = TRIAL_RETRY_AFTER;
 	} else {
-		verdict.standing = crash_standing::ON_TRIAL;
+		verdict.standing = crash_state::ON_TRIAL;
 	}
 	return verdict;
 }
@@ -163,13 +163,13 @@
 	if (known.crashes.size() < CRASHES_TO_TRY) {
 		return true;
 	}
-	if (known.count_sent_trials() >= MOST_TRIALS) {
+	if (known.count_sent_trials() >= MAX_TRIALS) {
 		return false;
 	}
 	return std::none_of(known.trials.begin(), known.trials.end(), [p_trial, p_now](const auto &p_entry) {
 		const trial &other = p_entry.second;
-		const bool is_sent_and_open = other.state == crash_news::TRIAL_SENT && p_now - other.at <= LONGEST_TRIAL;
-		const bool comes_first = other.state == crash_news::TRIAL_ASKED && p_now - other.at <= LONGEST_TRIAL && p_entry.first < p_trial;
+		const bool is_sent_and_open = other.state == crash_event::TRIAL_SENT && p_now - other.at <= TRIAL_TIMEOUT;
+		const bool comes_first = other.state == crash_event::TRIAL_REQUESTED && p_now - other.at <= TRIAL_TIMEOUT && p_entry.first < p_trial;
 		return p_entry.first != p_trial && (is_sent_and_open || comes_first);
 	});
 }
@@ -181,7 +181,7 @@
 		return records;
 	}
 	for (const auto &[endpoint, at] : found->second.crashes) {
-		records.push_back(crash_record{ crash_news::ENDED_ENDPOINT, p_run, endpoint, at });
+		records.push_back(crash_record{ crash_event::CRASHED_ENDPOINT, p_run, endpoint, at });
 	}
 	for (const auto &[id, known] : found->second.trials) {
 		records.push_back(crash_record{ known.state, p_run, id, known.at });
@@ -221,7 +221,7 @@
 }
 
 void crash_memory::_evict_if_full() {
-	if (_entries.size() < MOST_ENTRIES) {
+	if (_entries.size() < MAX_ENTRIES) {
 		return;
 	}
 	using position = std::map<request_fingerprint, entry>::iterator;
--- a/servers/gateway/crash_memory.h
+++ b/servers/gateway/crash_memory.h
@@ -22,22 +22,22 @@
 namespace calicoscale {
 
 /** Events of a request that was running on endpoints that crashed. */
-enum class crash_news {
-	ENDED_ENDPOINT, ///< An endpoint crashed while it ran the request; the subject identifies the endpoint.
-	TRIAL_ASKED, ///< A node wants to be the only one to send the request; the subject identifies the trial.
+enum class crash_event {
+	CRASHED_ENDPOINT, ///< An endpoint crashed while it ran the request; the subject identifies the endpoint.
+	TRIAL_REQUESTED, ///< A node wants to be the only one to send the request; the subject identifies the trial.
 	TRIAL_DROPPED, ///< That node decided not to send the request.
 	TRIAL_SENT,
-	TRIAL_ENDED, ///< Sent, and completed without an answer that clears the request; a crash is reported as ENDED_ENDPOINT.
+	TRIAL_ENDED, ///< Sent, and completed without an answer that clears the request; a crash is reported as CRASHED_ENDPOINT.
 	SERVED, ///< A run returned a complete answer, so the content of the request alone does not crash endpoints.
 	COUNT,
 };
 
 /** Returns the name of an event, e.g. "ended_endpoint". */
-std::string_view get_name(crash_news p_news);
+std::string_view get_name(crash_event p_news);
 
 /** One event, as nodes exchange it. */
 struct crash_record {
-	crash_news news = crash_news::ENDED_ENDPOINT;
+	crash_event news = crash_event::CRASHED_ENDPOINT;
 	request_fingerprint run;
 	std::uint64_t subject = 0; ///< 0 for SERVED.
 	instant at{}; ///< When it happened, on the monotonic clock of the node that stores the record.
@@ -45,22 +45,22 @@
 };
 
 /** State of a request, derived from its events. */
-enum class crash_standing {
+enum class crash_state {
 	FREE, ///< No known crashes.
 	SUSPECT, ///< It was running on endpoints that crashed, as other requests there were.
 	ON_TRIAL, ///< It may be sent once more, as a trial, unless another node sends it.
-	HELD_BACK, ///< It must not be sent.
+	BLOCKED, ///< It must not be sent.
 };
 
 /** Returns the name of a state, e.g. "held_back". */
-std::string_view get_name(crash_standing p_standing);
+std::string_view get_name(crash_state p_standing);
 
 /** State of a request with the counts it follows from. */
 struct crash_verdict {
-	crash_standing standing = crash_standing::FREE;
+	crash_state standing = crash_state::FREE;
 	std::size_t crashes = 0; ///< Endpoints that crashed while they ran the request.
 	std::size_t trials = 0; ///< Trials sent so far.
-	duration retry_after = duration::zero(); ///< Time until it may be sent again; set for HELD_BACK.
+	duration retry_after = duration::zero(); ///< Time until it may be sent again; set for BLOCKED.
 };
 
 /**
@@ -69,18 +69,18 @@
  *
  * Neither one crash nor three show which of the requests running on an endpoint caused it: many harmless requests are running
  * when a zone fails. After CRASHES_TO_TRY crashes a request is therefore neither served normally nor rejected for good, but sent
- * as a trial: a single supervised send of a suspect request, by one node at a time, to the least loaded endpoint, and MOST_TRIALS
+ * as a trial: a single supervised send of a suspect request, by one node at a time, to the least loaded endpoint, and MAX_TRIALS
  * times in all. A harmless request gets its answer from the first trial, which clears it at all nodes. A request that crashes
  * that endpoint as well is blocked until its entry expires.
  *
- * Memory is bounded: a crash adds one entry for each run with an unknown outcome, and at most MOST_ENTRIES are stored. Entries
+ * Memory is bounded: a crash adds one entry for each run with an unknown outcome, and at most MAX_ENTRIES are stored. Entries
  * with the fewest crashes are evicted first, so that a caller who crashes endpoints with ever new contents cannot evict the
  * entries of other requests. The caller passes the current time.
  */
 class crash_memory {
 	/** Latest known event of a trial. */
 	struct trial {
-		crash_news state = crash_news::TRIAL_ASKED;
+		crash_event state = crash_event::TRIAL_REQUESTED;
 		instant at{};
 	};
 
@@ -111,18 +111,18 @@
 	 * Trials of a request by all nodes together. The requirement allows three; the third is kept in reserve, because two
 	 * partitioned nodes may each use one at the same moment.
 	 */
-	static constexpr std::size_t MOST_TRIALS = 2;
-	static constexpr std::size_t MOST_ENTRIES = 4096;
+	static constexpr std::size_t MAX_TRIALS = 2;
+	static constexpr std::size_t MAX_ENTRIES = 4096;
 	/**
 	 * Time after the newest crash or trial at which an entry expires. Longer than it takes to replace the engine's software, and
 	 * short enough that a request which was blocked wrongly, or whose engine was fixed, is served again without an operator.
 	 */
 	static constexpr duration LIFETIME = std::chrono::minutes(10);
 	/** A trial without an update for this long counts as completed; longer than any request may take. */
-	static constexpr duration LONGEST_TRIAL = std::chrono::seconds(15);
+	static constexpr duration TRIAL_TIMEOUT = std::chrono::seconds(15);
 
 	/** Returns whether there is an entry for a request target, so that bodies of requests to it have to be read. */
-	bool knows_place(std::uint64_t p_place) const { return _target_counts.contains(p_place); }
+	bool knows_target(std::uint64_t p_place) const { return _target_counts.contains(p_place); }
 
 	/** Applies an event. @return whether it changed anything and should be sent on to other nodes. */
 	bool take(const crash_record &p_record, instant p_now);
--- a/servers/gateway/dispatch_choice.cpp
+++ b/servers/gateway/dispatcher_selection.cpp
@@ -1,12 +1,12 @@
 /*
- * calicoscale: dispatch_choice.cpp
+ * calicoscale: dispatcher_selection.cpp
  * Selection of the node that stage work of a pool is sent to.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#include "servers/gateway/dispatch_choice.h"
+#include "servers/gateway/dispatcher_selection.h"
 
 #include "core/digest.h"
 
@@ -40,7 +40,7 @@
 }
 
 std::optional<std::string> choose_work_node(const std::string &p_pool, const std::string &p_except, const dispatch_view &p_view, const dispatch_wait &p_wait) {
-	if (p_view.nodes.empty() && p_view.is_told && p_wait.untold < DISPATCHER_LIST_WAIT) {
+	if (p_view.nodes.empty() && p_view.is_follower && p_wait.untold < DISPATCHER_LIST_WAIT) {
 		return std::nullopt;
 	}
 	if (p_wait.for_link > LINK_WAIT) {
--- a/servers/gateway/dispatch_choice.h
+++ b/servers/gateway/dispatcher_selection.h
@@ -1,13 +1,13 @@
 /*
- * calicoscale: dispatch_choice.h
+ * calicoscale: dispatcher_selection.h
  * Selection of the node that stage work of a pool is sent to.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#ifndef DISPATCH_CHOICE_H
-#define DISPATCH_CHOICE_H
+#ifndef DISPATCHER_SELECTION_H
+#define DISPATCHER_SELECTION_H
 
 #include "core/time.h"
 
@@ -22,7 +22,7 @@
 struct dispatch_view {
 	std::string vm; ///< This node.
 	std::vector<std::string> nodes; ///< Known dispatching nodes.
-	bool is_told = false; ///< This node is a follower: its hub reports which nodes dispatch.
+	bool is_follower = false; ///< This node is a follower: its hub reports which nodes dispatch.
 	std::function<bool(const std::string &)> is_linked; ///< Returns whether a link to a node is established.
 };
 
@@ -46,4 +46,4 @@
 
 } // namespace calicoscale
 
-#endif // DISPATCH_CHOICE_H
+#endif // DISPATCHER_SELECTION_H
--- a/servers/gateway/endpoint_rests.h
+++ b/servers/gateway/endpoint_backoffs.h
@@ -1,13 +1,13 @@
 /*
- * calicoscale: endpoint_rests.h
+ * calicoscale: endpoint_backoffs.h
  * Back-off times that endpoints requested from this node.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#ifndef ENDPOINT_RESTS_H
-#define ENDPOINT_RESTS_H
+#ifndef ENDPOINT_BACKOFFS_H
+#define ENDPOINT_BACKOFFS_H
 
 #include "core/time.h"
 #include "servers/routing/endpoint_identity.h"
@@ -22,7 +22,7 @@
  * The back-off doesn't apply to other nodes, which the endpoint may still serve, so it isn't reported to them. When an endpoint
  * requests several, the latest end applies.
  */
-class endpoint_rests {
+class endpoint_backoffs {
 	std::map<endpoint_identity, instant> _until;
 
 public:
@@ -49,4 +49,4 @@
 
 } // namespace calicoscale
 
-#endif // ENDPOINT_RESTS_H
+#endif // ENDPOINT_BACKOFFS_H
--- a/servers/gateway/endpoint_directory.cpp
+++ b/servers/gateway/endpoint_directory.cpp
@@ -45,8 +45,8 @@
 	return is_recent && removed != _removed_at.end() && removed->second <= _era_at;
 }
 
-endpoint_reading endpoint_directory::make_whole_reading(const log_position &p_known) const {
-	endpoint_reading delta;
+endpoint_delta endpoint_directory::make_snapshot_delta(const log_position &p_known) const {
+	endpoint_delta delta;
 	delta.to = p_known.offset;
 	delta.era = p_known.era;
 	delta.is_whole = true;
@@ -104,8 +104,8 @@
 	return found == _endpoints.end() || found->second.dropped_at ? std::nullopt : std::optional<endpoint_listing>(found->second.listing);
 }
 
-endpoint_reading endpoint_directory::take_records(const std::vector<endpoint_record> &p_records, std::uint64_t p_from, std::uint64_t p_to, instant p_now) {
-	endpoint_reading delta;
+endpoint_delta endpoint_directory::apply_records(const std::vector<endpoint_record> &p_records, std::uint64_t p_from, std::uint64_t p_to, instant p_now) {
+	endpoint_delta delta;
 	delta.from = p_from;
 	delta.to = p_to;
 	std::map<std::string, bool> is_dropped; // Whether the newest record of a name is a removal.
@@ -139,7 +139,7 @@
 	return delta;
 }
 
-void endpoint_directory::take_reading(const endpoint_reading &p_delta, instant p_now) {
+void endpoint_directory::apply_delta(const endpoint_delta &p_delta, instant p_now) {
 	if (p_delta.is_whole) {
 		replace(p_delta.written, p_now);
 		return;
@@ -167,7 +167,7 @@
 	return digest;
 }
 
-bool endpoint_directory::is_like(const endpoint_reading &p_delta) const {
+bool endpoint_directory::is_like(const endpoint_delta &p_delta) const {
 	return p_delta.listed_starts == get_listed_starts();
 }
 
@@ -259,7 +259,7 @@
 	return is_later ? _endpoints.end() : found;
 }
 
-bool endpoint_directory::mark_gone(const endpoint_identity &p_identity, instant p_now) {
+bool endpoint_directory::mark_removed(const endpoint_identity &p_identity, instant p_now) {
 	const auto found = _find_removed(p_identity);
 	if (found == _endpoints.end()) {
 		return false;
@@ -272,7 +272,7 @@
 	return true;
 }
 
-std::vector<endpoint_identity> endpoint_directory::drop_told(instant p_now) {
+std::vector<endpoint_identity> endpoint_directory::drop_reported_removals(instant p_now) {
 	std::vector<endpoint_identity> dropped;
 	for (const auto &[identity, reported_at] : _reported_removed) {
 		const auto found = _find_removed(identity);
@@ -410,13 +410,13 @@
 	return changed;
 }
 
-std::vector<endpoint_identity> endpoint_directory::take_gone() {
+std::vector<endpoint_identity> endpoint_directory::take_removed() {
 	std::vector<endpoint_identity> removed;
 	removed.swap(_new_removed);
 	return removed;
 }
 
-std::vector<endpoint_identity> endpoint_directory::take_news() {
+std::vector<endpoint_identity> endpoint_directory::take_updates() {
 	std::vector<endpoint_identity> leaving;
 	leaving.swap(_new_leaving);
 	return leaving;
--- a/servers/gateway/endpoint_directory.h
+++ b/servers/gateway/endpoint_directory.h
@@ -27,7 +27,7 @@
 };
 
 /** Changes made by a range of the endpoints' log, for a node that knows all records before it. */
-struct endpoint_reading {
+struct endpoint_delta {
 	std::uint64_t from = 0; ///< Offset of the first record.
 	std::uint64_t to = 0; ///< Offset after the last one.
 	std::vector<endpoint_listing> written;
@@ -59,8 +59,8 @@
 
 	std::map<std::string, known_endpoint> _endpoints;
 	std::map<std::string, std::uint64_t> _left; ///< Newest incarnation of each name that announced that it leaves.
-	std::vector<endpoint_identity> _new_leaving; ///< Found to be leaving since the last take_news().
-	std::vector<endpoint_identity> _new_removed; ///< Entries removed since the last take_gone().
+	std::vector<endpoint_identity> _new_leaving; ///< Found to be leaving since the last take_updates().
+	std::vector<endpoint_identity> _new_removed; ///< Entries removed since the last take_removed().
 	std::map<endpoint_identity, instant> _removed_at; ///< Entries removed within REMOVAL_MEMORY, with the time.
 	std::map<endpoint_identity, instant> _reported_removed; ///< Removals reported by peers that this node hasn't read yet, with the time of the report.
 	instant _read_at{};
@@ -109,13 +109,13 @@
 	 * @param p_from offset of the first one. @param p_to offset after the last one.
 	 * @return the changes, for nodes that knew the same before.
 	 */
-	endpoint_reading take_records(const std::vector<endpoint_record> &p_records, std::uint64_t p_from, std::uint64_t p_to, instant p_now);
+	endpoint_delta apply_records(const std::vector<endpoint_record> &p_records, std::uint64_t p_from, std::uint64_t p_to, instant p_now);
 
 	/** Applies the changes that a peer read. The caller makes sure that this node knows all records before them. */
-	void take_reading(const endpoint_reading &p_delta, instant p_now);
+	void apply_delta(const endpoint_delta &p_delta, instant p_now);
 
 	/** Returns all entries as a snapshot, for nodes that know nothing of this era of the log. */
-	endpoint_reading make_whole_reading(const log_position &p_known) const;
+	endpoint_delta make_snapshot_delta(const log_position &p_known) const;
 
 	/** Returns a digest of the names of all endpoints and of which are leaving. */
 	std::uint64_t get_listed() const;
@@ -124,7 +124,7 @@
 	std::uint64_t get_listed_starts() const;
 
 	/** Returns whether the reader knew the same endpoints and starts after its read as this node knows now. */
-	bool is_like(const endpoint_reading &p_delta) const;
+	bool is_like(const endpoint_delta &p_delta) const;
 
 	/** Applies a snapshot of all entries. */
 	void replace(const std::vector<endpoint_listing> &p_listings, instant p_now);
@@ -141,10 +141,10 @@
 	 * or while only this node was disconnected. Otherwise the report is stored until a later read, because peers send it only
 	 * once. Returns whether the entry was removed.
 	 */
-	bool mark_gone(const endpoint_identity &p_identity, instant p_now);
+	bool mark_removed(const endpoint_identity &p_identity, instant p_now);
 
-	/** Applies stored reports of mark_gone() that have become applicable, and returns their endpoints. Call it often. */
-	std::vector<endpoint_identity> drop_told(instant p_now);
+	/** Applies stored reports of mark_removed() that have become applicable, and returns their endpoints. Call it often. */
+	std::vector<endpoint_identity> drop_reported_removals(instant p_now);
 
 	/** Removes entries that were kept only for the time after an outage, and other expired state. */
 	void tick(instant p_now);
@@ -165,10 +165,10 @@
 	bool take_changed();
 
 	/** Returns the endpoints found to be leaving since the last call, which are reported to peers. */
-	std::vector<endpoint_identity> take_news();
+	std::vector<endpoint_identity> take_updates();
 
 	/** Returns the endpoints whose entry was removed since the last call, which are reported to peers. */
-	std::vector<endpoint_identity> take_gone();
+	std::vector<endpoint_identity> take_removed();
 
 	/** Returns whether there is an entry of any start of an endpoint. */
 	bool contains(const std::string &p_name) const { return _endpoints.contains(p_name); }
--- a/servers/gateway/endpoint_limits.cpp
+++ b/servers/gateway/endpoint_limits.cpp
@@ -42,8 +42,8 @@
 		_listed.emplace(listing.get_identity(), listed_endpoint{ listing.zone, listing.pool, listing.address });
 		const auto known = _cold.find(listing.get_identity());
 		// The list is also set again for other reasons; the cold time of an unchanged entry has been running since it was applied.
-		const bool is_news = known == _cold.end() ? listing.cold_left > duration::zero() : known->second.reported != listing.cold_left;
-		const gateway_service *service = is_news ? find_limited(p_configuration, listing.pool) : nullptr;
+		const bool is_new = known == _cold.end() ? listing.cold_left > duration::zero() : known->second.reported != listing.cold_left;
+		const gateway_service *service = is_new ? find_limited(p_configuration, listing.pool) : nullptr;
 		if (service != nullptr) {
 			_set_cold(listing.get_identity(), service->cold_rate, listing.cold_left, p_now);
 			_cold.at(listing.get_identity()).reported = listing.cold_left;
@@ -60,7 +60,7 @@
 	}
 }
 
-void endpoint_limits::on_taken_back(const std::string &p_zone, const std::vector<endpoint_listing> &p_listings, const gateway_configuration &p_configuration, instant p_now) {
+void endpoint_limits::on_zone_restored(const std::string &p_zone, const std::vector<endpoint_listing> &p_listings, const gateway_configuration &p_configuration, instant p_now) {
 	for (const endpoint_listing &listing : p_listings) {
 		const gateway_service *service = listing.zone == p_zone ? find_limited(p_configuration, listing.pool) : nullptr;
 		if (service != nullptr) {
@@ -81,7 +81,7 @@
 	if (advertised && !_advertised.is_confirmed(p_endpoint, p_now)) {
 		bounds.push_back(rate_bound{ 1, CHECK_SPAN, instant{}, true });
 	} else if (advertised) {
-		bounds.push_back(_make_advertised_bound(*advertised, _advertised.get_named_at(p_endpoint)));
+		bounds.push_back(_make_advertised_bound(*advertised, _advertised.get_advertised_since(p_endpoint)));
 	}
 	return bounds;
 }
@@ -94,18 +94,18 @@
 	return rate_bound{ static_cast<std::size_t>(slots), from_seconds(slots / p_rate), p_since };
 }
 
-std::size_t endpoint_limits::_count_own(const endpoint_identity &p_endpoint, const rate_bound &p_bound, sender_part p_share, instant p_now) {
-	if (p_share == sender_part::WHOLE || p_bound.is_own) {
+std::size_t endpoint_limits::_count_own(const endpoint_identity &p_endpoint, const rate_bound &p_bound, sender_share p_share, instant p_now) {
+	if (p_share == sender_share::FULL || p_bound.is_own) {
 		return p_bound.slots;
 	}
 	return _slots.count_own(p_endpoint, _find_zone(p_endpoint), p_bound.slots, p_now);
 }
 
-std::size_t endpoint_limits::_count_soon(const endpoint_identity &p_endpoint, const rate_bound &p_bound, sender_part p_share) {
-	if (p_share == sender_part::WHOLE || p_bound.is_own) {
+std::size_t endpoint_limits::_count_soon(const endpoint_identity &p_endpoint, const rate_bound &p_bound, sender_share p_share) {
+	if (p_share == sender_share::FULL || p_bound.is_own) {
 		return p_bound.slots;
 	}
-	return _slots.count_soon(p_endpoint, _find_zone(p_endpoint), p_bound.slots);
+	return _slots.count_future_slots(p_endpoint, _find_zone(p_endpoint), p_bound.slots);
 }
 
 std::string endpoint_limits::_find_zone(const endpoint_identity &p_endpoint) const {
@@ -113,10 +113,10 @@
 	return listed == _listed.end() ? "" : listed->second.zone;
 }
 
-std::optional<duration> endpoint_limits::_get_wait_by_rank(const endpoint_identity &p_endpoint, const rate_bound &p_bound, sender_part p_share, instant p_now) {
+std::optional<duration> endpoint_limits::_get_wait_by_rank(const endpoint_identity &p_endpoint, const rate_bound &p_bound, sender_share p_share, instant p_now) {
 	const std::size_t own = _count_own(p_endpoint, p_bound, p_share, p_now);
 	if (own == 0) {
-		return _count_soon(p_endpoint, p_bound, p_share) > 0 ? std::optional(_slots.get_time_to_hold(p_now)) : std::nullopt;
+		return _count_soon(p_endpoint, p_bound, p_share) > 0 ? std::optional(_slots.get_activation_delay(p_now)) : std::nullopt;
 	}
 	const std::deque<instant> &sent = _sent_at[p_endpoint];
 	if (sent.size() < own) {
@@ -137,13 +137,13 @@
 	return std::max(duration::zero(), next - p_now);
 }
 
-std::optional<duration> endpoint_limits::get_wait(const endpoint_identity &p_endpoint, sender_part p_share, instant p_now) {
+std::optional<duration> endpoint_limits::get_wait(const endpoint_identity &p_endpoint, sender_share p_share, instant p_now) {
 	if (_backoffs.get_left(p_endpoint, p_now) > duration::zero()) {
 		return std::nullopt;
 	}
 	duration longest = duration::zero();
 	for (const rate_bound &bound : _get_bounds(p_endpoint, p_now)) {
-		const bool is_even = _sharing == limit_sharing::EVEN && p_share == sender_part::SHARE && bound.slots > 0 && !bound.is_own;
+		const bool is_even = _sharing == limit_sharing::EVEN && p_share == sender_share::SHARE && bound.slots > 0 && !bound.is_own;
 		const std::optional<duration> wait = is_even ? _get_wait_evenly(p_endpoint, bound, p_now) : _get_wait_by_rank(p_endpoint, bound, p_share, p_now);
 		if (!wait) {
 			return std::nullopt;
@@ -153,7 +153,7 @@
 	return longest;
 }
 
-bool endpoint_limits::may_send(const endpoint_identity &p_endpoint, sender_part p_share, instant p_now) {
+bool endpoint_limits::may_send(const endpoint_identity &p_endpoint, sender_share p_share, instant p_now) {
 	const std::optional<duration> wait = get_wait(p_endpoint, p_share, p_now);
 	const bool is_allowed = wait && *wait == duration::zero();
 	_deferred_count += is_allowed ? 0 : 1;
@@ -177,11 +177,11 @@
 }
 
 void endpoint_limits::_add_free_slots(const endpoint_identity &p_endpoint, const rate_bound &p_bound, std::size_t p_max, instant p_now, std::vector<instant> &r_free_at) {
-	const std::optional<duration> wait = get_wait(p_endpoint, sender_part::SHARE, p_now);
+	const std::optional<duration> wait = get_wait(p_endpoint, sender_share::SHARE, p_now);
 	if (!wait) {
 		return;
 	}
-	const std::size_t own = _count_soon(p_endpoint, p_bound, sender_part::SHARE);
+	const std::size_t own = _count_soon(p_endpoint, p_bound, sender_share::SHARE);
 	const std::deque<instant> &sent = _sent_at[p_endpoint];
 	for (std::size_t i = 0; i < std::min(own, p_max); i++) {
 		const bool is_used = sent.size() + i >= own;
@@ -197,7 +197,7 @@
 	for (const endpoint_identity &endpoint : p_endpoints) {
 		const duration backoff = _backoffs.get_left(endpoint, p_now);
 		if (backoff > duration::zero()) {
-			prospect.rest_left = std::min(prospect.rest_left.value_or(backoff), backoff);
+			prospect.backoff_left = std::min(prospect.backoff_left.value_or(backoff), backoff);
 			continue;
 		}
 		const std::vector<rate_bound> bounds = _get_bounds(endpoint, p_now);
--- a/servers/gateway/endpoint_limits.h
+++ b/servers/gateway/endpoint_limits.h
@@ -9,10 +9,10 @@
 #ifndef ENDPOINT_LIMITS_H
 #define ENDPOINT_LIMITS_H
 
-#include "servers/gateway/endpoint_rests.h"
+#include "servers/gateway/advertised_limits.h"
+#include "servers/gateway/endpoint_backoffs.h"
 #include "servers/gateway/gateway_configuration.h"
-#include "servers/gateway/named_limits.h"
-#include "servers/gateway/sender_places.h"
+#include "servers/gateway/sender_slots.h"
 #include "servers/routing/endpoint_state.h"
 
 #include <deque>
@@ -30,15 +30,15 @@
 };
 
 /** Which share of an endpoint's rate this node may use. */
-enum class sender_part {
+enum class sender_share {
 	SHARE, ///< A share, as other nodes send there as well.
-	WHOLE, ///< The whole rate, as only this node sends there; for the dispatcher of a stage pool.
+	FULL, ///< The whole rate, as only this node sends there; for the dispatcher of a stage pool.
 };
 
 /** When a request may be sent to one of some endpoints. */
 struct send_prospect {
 	std::optional<duration> wait; ///< Zero when it may be sent now; empty when this node currently may send to none of them.
-	std::optional<duration> rest_left; ///< Shortest remaining back-off of the endpoints; empty when none is backed off.
+	std::optional<duration> backoff_left; ///< Shortest remaining back-off of the endpoints; empty when none is backed off.
 };
 
 /**
@@ -73,20 +73,20 @@
 	};
 
 	limit_sharing _sharing;
-	sender_places _slots;
+	sender_slots _slots;
 	std::map<endpoint_identity, listed_endpoint> _listed;
 	std::map<endpoint_identity, cold_time> _cold;
-	named_limits _advertised;
-	endpoint_rests _backoffs;
+	advertised_limits _advertised;
+	endpoint_backoffs _backoffs;
 	std::uint64_t _deferred_count = 0;
 	std::map<endpoint_identity, std::deque<instant>> _sent_at; ///< Times of this node's sends to bounded endpoints, within the longest span.
 
 	void _set_cold(const endpoint_identity &p_endpoint, double p_rate, duration p_left, instant p_now);
 	std::vector<rate_bound> _get_bounds(const endpoint_identity &p_endpoint, instant p_now) const;
 	std::string _find_zone(const endpoint_identity &p_endpoint) const;
-	std::size_t _count_soon(const endpoint_identity &p_endpoint, const rate_bound &p_bound, sender_part p_share);
-	std::size_t _count_own(const endpoint_identity &p_endpoint, const rate_bound &p_bound, sender_part p_share, instant p_now);
-	std::optional<duration> _get_wait_by_rank(const endpoint_identity &p_endpoint, const rate_bound &p_bound, sender_part p_share, instant p_now);
+	std::size_t _count_soon(const endpoint_identity &p_endpoint, const rate_bound &p_bound, sender_share p_share);
+	std::size_t _count_own(const endpoint_identity &p_endpoint, const rate_bound &p_bound, sender_share p_share, instant p_now);
+	std::optional<duration> _get_wait_by_rank(const endpoint_identity &p_endpoint, const rate_bound &p_bound, sender_share p_share, instant p_now);
 	std::optional<duration> _get_wait_evenly(const endpoint_identity &p_endpoint, const rate_bound &p_bound, instant p_now) const;
 	/** Appends the times at which this node's next p_max slots at an endpoint become free. */
 	void _add_free_slots(const endpoint_identity &p_endpoint, const rate_bound &p_bound, std::size_t p_max, instant p_now, std::vector<instant> &r_free_at);
@@ -108,7 +108,7 @@
 	 * Treats the endpoints of a zone whose evacuation was ended as cold, for as long as after a start: they may have been
 	 * restarted meanwhile, and their entries may be read slightly later than the operator's record.
 	 */
-	void on_taken_back(const std::string &p_zone, const std::vector<endpoint_listing> &p_listings, const gateway_configuration &p_configuration, instant p_now);
+	void on_zone_restored(const std::string &p_zone, const std::vector<endpoint_listing> &p_listings, const gateway_configuration &p_configuration, instant p_now);
 
 	/**
 	 * Sets the nodes that share the rates. Call it often from the node's start on, as a slot may be used only some time after it
@@ -117,10 +117,10 @@
 	void set_senders(const known_senders &p_senders, instant p_now) { _slots.set_senders(p_senders, p_now); }
 
 	/** Returns the time until this node may send an endpoint another request; empty when it has no slot or the endpoint is backed off. */
-	std::optional<duration> get_wait(const endpoint_identity &p_endpoint, sender_part p_share, instant p_now);
+	std::optional<duration> get_wait(const endpoint_identity &p_endpoint, sender_share p_share, instant p_now);
 
 	/** Returns whether this node may send an endpoint another request now, and counts the refusals. */
-	bool may_send(const endpoint_identity &p_endpoint, sender_part p_share, instant p_now);
+	bool may_send(const endpoint_identity &p_endpoint, sender_share p_share, instant p_now);
 
 	/** Records that this node sent a request. */
 	void on_sent(const endpoint_identity &p_endpoint, instant p_now);
@@ -133,12 +133,12 @@
 	std::vector<endpoint_identity> forget_old(instant p_now);
 
 	/** Endpoints that requested a back-off from this node. */
-	endpoint_rests &get_rests() { return _backoffs; }
-	const endpoint_rests &get_rests() const { return _backoffs; }
+	endpoint_backoffs &get_backoffs() { return _backoffs; }
+	const endpoint_backoffs &get_backoffs() const { return _backoffs; }
 
 	/** Limits that endpoints advertise. */
-	named_limits &get_named() { return _advertised; }
-	const named_limits &get_named() const { return _advertised; }
+	advertised_limits &get_advertised() { return _advertised; }
+	const advertised_limits &get_advertised() const { return _advertised; }
 
 	/**
 	 * Predicts when a request may be sent to one of these endpoints, from the current bounds.
@@ -153,7 +153,7 @@
 	bool is_any_bounded() const { return !_cold.empty() || !_advertised.is_empty() || _backoffs.count() > 0; }
 
 	/** Returns how often may_send() has returned false. */
-	std::uint64_t get_held_back() const { return _deferred_count; }
+	std::uint64_t get_deferred_count() const { return _deferred_count; }
 
 	std::size_t get_cold_count(instant p_now) const;
 };
--- a/servers/gateway/endpoint_record_filter.cpp
+++ b/servers/gateway/endpoint_record_filter.cpp
@@ -93,7 +93,7 @@
 	}
 }
 
-void endpoint_record_filter::on_told(const endpoint_reading &p_delta) {
+void endpoint_record_filter::on_told(const endpoint_delta &p_delta) {
 	for (const endpoint_listing &listing : p_delta.written) {
 		_overwritten_at.erase(listing.vm);
 	}
@@ -127,7 +127,7 @@
 	return records;
 }
 
-std::vector<endpoint_listing> endpoint_record_filter::take_whole(const std::vector<read_endpoint_record> &p_records, const std::vector<endpoint_listing> &p_known, instant p_now) {
+std::vector<endpoint_listing> endpoint_record_filter::apply_snapshot(const std::vector<read_endpoint_record> &p_records, const std::vector<endpoint_listing> &p_known, instant p_now) {
 	const bool needs_start = is_start_reported_by_most({}, p_records);
 	const listings_by_name known = sort_by_name(p_known);
 	std::vector<endpoint_listing> listings;
--- a/servers/gateway/endpoint_record_filter.h
+++ b/servers/gateway/endpoint_record_filter.h
@@ -64,10 +64,10 @@
 	std::vector<endpoint_record> take(const std::vector<read_endpoint_record> &p_records, const std::vector<endpoint_listing> &p_known, instant p_now);
 
 	/** Returns the entries that the directory is to apply as a snapshot. @param p_records the newest record of each key. */
-	std::vector<endpoint_listing> take_whole(const std::vector<read_endpoint_record> &p_records, const std::vector<endpoint_listing> &p_known, instant p_now);
+	std::vector<endpoint_listing> apply_snapshot(const std::vector<read_endpoint_record> &p_records, const std::vector<endpoint_listing> &p_known, instant p_now);
 
 	/** Applies a peer's changes: stops keeping endpoints listed whose entry was written or removed. */
-	void on_told(const endpoint_reading &p_delta);
+	void on_told(const endpoint_delta &p_delta);
 
 	/** Returns the records rejected since the last call. */
 	std::vector<rejected_entry> take_rejected() { return std::exchange(_rejected, {}); }
--- a/servers/gateway/engine_view.cpp
+++ b/servers/gateway/engine_view.cpp
@@ -63,7 +63,7 @@
 	if (found == _engines.end() || !_mechanisms.has(mechanism::ENGINE_SLOWNESS)) {
 		return 1.0;
 	}
-	const double age = to_seconds(p_now - found->second.learnt_at) / to_seconds(SLOWNESS_DECAY_TIME);
+	const double age = to_seconds(p_now - found->second.learned_at) / to_seconds(SLOWNESS_DECAY_TIME);
 	return 1.0 + (found->second.slowness - 1.0) * std::exp(-std::max(0.0, age));
 }
 
@@ -131,7 +131,7 @@
 	const double current = _get_slowness(p_engine, p_now);
 	const double sample = static_cast<double>(p_elapsed.count()) / static_cast<double>(expected.count());
 	engine.slowness = std::clamp(current * (1.0 + (sample - 1.0) * SLOWNESS_STEP), 0.7, MAX_SLOWNESS);
-	engine.learnt_at = p_now;
+	engine.learned_at = p_now;
 	if (p_predicted.wait == duration::zero() && p_predicted.unread >= MIN_TOKENS_FOR_ESTIMATE && p_elapsed > BASE_TIME) {
 		const double speed = static_cast<double>(p_predicted.unread) / to_milliseconds(p_elapsed - BASE_TIME);
 		_tokens_per_ms = std::clamp(_tokens_per_ms + (speed - _tokens_per_ms) * SPEED_STEP, MIN_TOKENS_PER_MS, MAX_TOKENS_PER_MS);
--- a/servers/gateway/engine_view.h
+++ b/servers/gateway/engine_view.h
@@ -53,7 +53,7 @@
 	struct engine_state {
 		instant busy_until{};
 		double slowness = 1.0;
-		instant learnt_at{};
+		instant learned_at{};
 	};
 
 	struct cached_part {
--- a/servers/gateway/evacuation_table.cpp
+++ b/servers/gateway/evacuation_table.cpp
@@ -16,7 +16,7 @@
 	const bool is_new_era = _known != log_position() && p_known.era != _known.era;
 	if (is_new_era) {
 		for (const std::string &zone : _zones) {
-			_retained.emplace(zone, p_now + KEPT_AFTER_ERA);
+			_retained.emplace(zone, p_now + RETENTION_AFTER_RESTORE);
 		}
 	}
 	std::erase_if(_retained, [&p_zones](const auto &p_entry) { return p_zones.contains(p_entry.first); });
@@ -24,7 +24,7 @@
 	_zones = std::move(p_zones);
 }
 
-void evacuation_table::take_records(const std::vector<evacuation_record> &p_records, std::uint64_t p_era) {
+void evacuation_table::apply_records(const std::vector<evacuation_record> &p_records, std::uint64_t p_era) {
 	if (p_era != _known.era) {
 		return;
 	}
@@ -42,14 +42,14 @@
 	}
 }
 
-void evacuation_table::take_whole(const std::vector<std::string> &p_zones, const log_position &p_known, instant p_now) {
+void evacuation_table::apply_snapshot(const std::vector<std::string> &p_zones, const log_position &p_known, instant p_now) {
 	if (p_known < _known) {
 		return;
 	}
 	_set(p_known, std::set<std::string>(p_zones.begin(), p_zones.end()), p_now);
 }
 
-bool evacuation_table::take_told(const evacuation_state &p_state, instant p_now) {
+bool evacuation_table::apply_update(const evacuation_state &p_state, instant p_now) {
 	if (p_state.known <= _known) {
 		return false;
 	}
--- a/servers/gateway/evacuation_table.h
+++ b/servers/gateway/evacuation_table.h
@@ -44,7 +44,7 @@
  * report of a peer never ends an evacuation. Only a later read ends one: a node that can't confirm its state for long keeps it,
  * because sending to a zone that is being evacuated does harm, while not using an available zone only costs capacity.
  *
- * A log that is restored from an older copy may lack evacuations that were confirmed. They stay in force for KEPT_AFTER_ERA, in
+ * A log that is restored from an older copy may lack evacuations that were confirmed. They stay in force for RETENTION_AFTER_RESTORE, in
  * which the operator can write them again.
  */
 class evacuation_table {
@@ -57,21 +57,21 @@
 
 public:
 	/** Operators and endpoints write records missing from the copy again within a few seconds. */
-	static constexpr duration KEPT_AFTER_ERA = std::chrono::seconds(10);
+	static constexpr duration RETENTION_AFTER_RESTORE = std::chrono::seconds(10);
 
 	/**
 	 * Applies consecutive records of the log; skips those that this node knows already. Ignores records of another era than the
-	 * known one; only take_whole() and take_told() start a new era.
+	 * known one; only apply_snapshot() and apply_update() start a new era.
 	 */
-	void take_records(const std::vector<evacuation_record> &p_records, std::uint64_t p_era);
+	void apply_records(const std::vector<evacuation_record> &p_records, std::uint64_t p_era);
 
 	/** Applies a snapshot: all zones that are evacuated as of a position. */
-	void take_whole(const std::vector<std::string> &p_zones, const log_position &p_known, instant p_now);
+	void apply_snapshot(const std::vector<std::string> &p_zones, const log_position &p_known, instant p_now);
 
 	/** Applies a peer's state. Returns whether it was newer. */
-	bool take_told(const evacuation_state &p_state, instant p_now);
+	bool apply_update(const evacuation_state &p_state, instant p_now);
 
-	/** Ends evacuations that were kept in force for KEPT_AFTER_ERA. */
+	/** Ends evacuations that were kept in force for RETENTION_AFTER_RESTORE. */
 	void tick(instant p_now);
 
 	/** Returns the zones that must get no new requests now. */
--- a/servers/gateway/event_splitter.cpp
+++ b/servers/gateway/event_splitter.cpp
@@ -116,7 +116,7 @@
 	return _has_field || _has_returned_part || _buffer.size() > _line_start;
 }
 
-std::string event_splitter::take_rest() {
+std::string event_splitter::take_remainder() {
 	std::string remainder;
 	remainder.swap(_buffer);
 	_line_start = 0;
--- a/servers/gateway/event_splitter.h
+++ b/servers/gateway/event_splitter.h
@@ -55,19 +55,19 @@
 	bool is_inside_event() const;
 
 	/** Returns and clears the remaining bytes, such as comments, of a stream that did not end inside an event. */
-	std::string take_rest();
+	std::string take_remainder();
 
 	/** Discards the buffered bytes, because another endpoint resumes the stream after the last complete event. */
 	void restart();
 
 	/** Returns whether a part of an event was returned whose remainder has not been received. */
-	bool has_handed_part() const { return _has_returned_part; }
+	bool has_returned_part() const { return _has_returned_part; }
 
 	/** Returns the id of the last complete event, as the event stream standard defines it; empty before the first. */
 	const std::string &get_last_id() const { return _last_id; }
 
 	std::size_t get_event_count() const { return _events; }
-	std::size_t get_held_bytes() const { return _buffer.size(); }
+	std::size_t get_buffered_bytes() const { return _buffer.size(); }
 };
 
 } // namespace calicoscale
--- a/servers/gateway/gateway_configuration.h
+++ b/servers/gateway/gateway_configuration.h
@@ -53,7 +53,7 @@
 	duration objective = duration::zero(); ///< An answer, or its first event, is in time if it comes within this time.
 	int priority = 0; ///< 0 is the most urgent.
 	std::vector<service_share> services;
-	int most_endpoints = 1; ///< Number of endpoints that one request may be sent to.
+	int max_endpoints = 1; ///< Number of endpoints that one request may be sent to.
 	std::vector<stage_spec> stages;
 	std::vector<std::string> homes; ///< Regions that its requests must not leave; empty for no restriction.
 	bool is_public = false;
@@ -68,7 +68,7 @@
 	std::size_t batch = 1; ///< Maximum items in one call.
 	duration call_time = duration::zero(); ///< Fixed time of a call.
 	duration piece_time = duration::zero(); ///< Additional time for each item of a call.
-	double room_bytes = 0.0; ///< Memory for results in one replica, in bytes.
+	double capacity_bytes = 0.0; ///< Memory for results in one replica, in bytes.
 	duration result_ttl = duration::zero();
 	bool operator==(const stage_pool_spec &p_other) const = default;
 };
--- a/servers/gateway/lost_runs.cpp
+++ b/servers/gateway/interrupted_runs.cpp
@@ -1,12 +1,12 @@
 /*
- * calicoscale: lost_runs.cpp
+ * calicoscale: interrupted_runs.cpp
  * Runs with an unknown outcome, whose connection was closed, until it is known whether their endpoint crashed.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#include "servers/gateway/lost_runs.h"
+#include "servers/gateway/interrupted_runs.h"
 
 #include "core/enum_names.h"
 
@@ -33,7 +33,7 @@
 	return find_name(PROBE_NAMES, p_end);
 }
 
-bool lost_runs::add(const endpoint_identity &p_endpoint, const request_fingerprint &p_run, instant p_now) {
+bool interrupted_runs::add(const endpoint_identity &p_endpoint, const request_fingerprint &p_run, instant p_now) {
 	unresolved_runs &entry = _unresolved[p_endpoint];
 	if (entry.runs.empty()) {
 		entry.lost_at = p_now;
@@ -48,7 +48,7 @@
 	return true;
 }
 
-std::vector<request_fingerprint> lost_runs::on_probed(const endpoint_identity &p_endpoint, probe_end p_end) {
+std::vector<request_fingerprint> interrupted_runs::on_probed(const endpoint_identity &p_endpoint, probe_end p_end) {
 	const auto found = _unresolved.find(p_endpoint);
 	if (found == _unresolved.end()) {
 		return {};
@@ -65,12 +65,12 @@
 	return runs;
 }
 
-std::vector<ended_endpoint> lost_runs::take_ended(const std::function<bool(const endpoint_identity &)> &p_is_listed, instant p_now) {
-	std::vector<ended_endpoint> ended;
+std::vector<crashed_endpoint> interrupted_runs::take_ended(const std::function<bool(const endpoint_identity &)> &p_is_listed, instant p_now) {
+	std::vector<crashed_endpoint> ended;
 	for (auto entry = _unresolved.begin(); entry != _unresolved.end();) {
 		const bool is_removed = !p_is_listed(entry->first);
 		if (is_removed) {
-			ended.push_back(ended_endpoint{ entry->first, std::move(entry->second.runs), entry->second.lost_at });
+			ended.push_back(crashed_endpoint{ entry->first, std::move(entry->second.runs), entry->second.lost_at });
 		}
 		entry = is_removed || p_now - entry->second.lost_at > ENTRY_EXPIRY_TIME ? _unresolved.erase(entry) : std::next(entry);
 	}
--- a/servers/gateway/lost_runs.h
+++ b/servers/gateway/interrupted_runs.h
@@ -1,13 +1,13 @@
 /*
- * calicoscale: lost_runs.h
+ * calicoscale: interrupted_runs.h
  * Runs with an unknown outcome, whose connection was closed, until it is known whether their endpoint crashed.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#ifndef LOST_RUNS_H
-#define LOST_RUNS_H
+#ifndef INTERRUPTED_RUNS_H
+#define INTERRUPTED_RUNS_H
 
 #include "core/time.h"
 #include "servers/request/request_fingerprint.h"
@@ -31,7 +31,7 @@
 std::string_view get_name(probe_end p_end);
 
 /** An endpoint that crashed, with the runs it was working on. */
-struct ended_endpoint {
+struct crashed_endpoint {
 	endpoint_identity endpoint;
 	std::vector<request_fingerprint> runs;
 	instant lost_at{}; ///< When the connection of the first of these runs was closed.
@@ -43,7 +43,7 @@
  * endpoint has a result, or, when the probe gets no response, until the endpoint's entry is removed. The caller passes the
  * current time.
  */
-class lost_runs {
+class interrupted_runs {
 	struct unresolved_runs {
 		std::vector<request_fingerprint> runs;
 		instant lost_at{};
@@ -64,11 +64,11 @@
 	std::vector<request_fingerprint> on_probed(const endpoint_identity &p_endpoint, probe_end p_end);
 
 	/** Returns endpoints with stored runs whose entry was removed. Drops runs that stay undecided for longer than an entry needs to expire. */
-	std::vector<ended_endpoint> take_ended(const std::function<bool(const endpoint_identity &)> &p_is_listed, instant p_now);
+	std::vector<crashed_endpoint> take_ended(const std::function<bool(const endpoint_identity &)> &p_is_listed, instant p_now);
 
 	bool is_empty() const { return _unresolved.empty(); }
 };
 
 } // namespace calicoscale
 
-#endif // LOST_RUNS_H
+#endif // INTERRUPTED_RUNS_H
--- a/servers/gateway/mechanism.h
+++ b/servers/gateway/mechanism.h
@@ -18,22 +18,22 @@
 /** Mechanisms that can be switched off. docs/DECISIONS.md states which are kept only because of a requirement. */
 enum class mechanism {
 	SHARED_DISPATCH, ///< One node dispatches a pool for all nodes.
-	ASKED_LISTS, ///< A node that knows no endpoints requests them from one peer after the other; off: peers send them unrequested.
+	REQUESTED_LISTS, ///< A node that knows no endpoints requests them from one peer after the other; off: peers send them unrequested.
 	POOL_SHARDS, ///< A large pool has several dispatchers, each for a share of its replicas.
 	DISPATCH_BY_SIZE, ///< Only the larger nodes dispatch.
 	HOLD_AT_START, ///< Requests with stages wait until a starting node knows its peers.
-	TOLD_RESULTS, ///< A pool's new dispatcher receives reports of the result memory in use.
+	REPORTED_RESULTS, ///< A pool's new dispatcher receives reports of the result memory in use.
 	LOST_RESULTS, ///< Results of failed nodes are released.
 	ADMISSION, ///< Requests that are predicted to be late are rejected.
 	MEASURED_CAPACITY, ///< The capacity of a pool with a backlog is its measured throughput.
 	PREDICTED_RETURN, ///< Retry times are derived from the predicted wait.
 	STAGE_DUE_TIMES, ///< A stage is due earlier than its request by the time of the stages after it.
 	PRIORITY_ORDER, ///< More urgent work comes first in the queue.
-	LATE_LAST, ///< Work that can't be in time comes last in the queue.
+	LATE_WORK_LAST, ///< Work that can't be in time comes last in the queue.
 	REPLICA_ZONE, ///< Replicas in the zone of their large inputs are preferred.
 	REPLICA_SLOWNESS, ///< Slow replicas are avoided.
-	TOLD_PACE, ///< The slowdown that replicas report for their VM is applied to calls shortly afterwards.
-	ROOM, ///< Calls are limited to the free memory for results.
+	REPORTED_SLOWDOWN, ///< The slowdown that replicas report for their VM is applied to calls shortly afterwards.
+	RESULT_CAPACITY, ///< Calls are limited to the free memory for results.
 	REPEATED_CALLS, ///< Calls that exceed their expected time are repeated at another replica.
 	OVERDUE_CALLS, ///< Calls that exceed their expected time by far are abandoned.
 	ENGINE_WAIT, ///< Engines with many prompt tokens still to read are avoided.
--- a/servers/gateway/told_prompt.h
+++ b/servers/gateway/prompt_record.h
@@ -1,16 +1,16 @@
 /*
- * calicoscale: told_prompt.h
+ * calicoscale: prompt_record.h
  * A prompt that a node sent to an engine, as reported to other nodes.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#ifndef TOLD_PROMPT_H
-#define TOLD_PROMPT_H
+#ifndef PROMPT_RECORD_H
+#define PROMPT_RECORD_H
 
 #include "servers/gateway/engine_view.h"
-#include "servers/gateway/news_digest.h"
+#include "servers/gateway/update_batch.h"
 
 #include <cstdint>
 #include <string_view>
@@ -19,7 +19,7 @@
 namespace calicoscale {
 
 /** A prompt that a node sent to an engine. */
-struct told_prompt {
+struct prompt_record {
 	std::uint32_t origin = 0; ///< Code of the node that sent it to the engine; see get_origin_code().
 	endpoint_identity engine;
 	std::vector<prompt_link> prompt;
@@ -29,8 +29,8 @@
 std::uint32_t get_origin_code(std::string_view p_vm);
 
 /** Creates the batch of prompts to report. The shortest are dropped first, because knowing them saves other nodes the least work. */
-news_digest<told_prompt> make_prompt_digest();
+update_batch<prompt_record> make_prompt_digest();
 
 } // namespace calicoscale
 
-#endif // TOLD_PROMPT_H
+#endif // PROMPT_RECORD_H
--- a/servers/gateway/read_schedule.cpp
+++ b/servers/gateway/read_schedule.cpp
@@ -38,7 +38,7 @@
 	return _plan(true);
 }
 
-planned_read read_schedule::begin_after_absence() {
+planned_read read_schedule::begin_after_stall() {
 	_reading++;
 	_open = 0;
 	return _plan(false);
@@ -77,7 +77,7 @@
 }
 
 duration read_schedule::get_first_wait(duration p_since_start) const {
-	const duration wait = _times.first_wait + _times.place_step * static_cast<duration::rep>(_read_position);
+	const duration wait = _times.first_wait + _times.rank_step * static_cast<duration::rep>(_read_position);
 	return _has_peer_reader ? std::max(duration::zero(), wait - p_since_start) : duration::zero();
 }
 
--- a/servers/gateway/read_schedule.h
+++ b/servers/gateway/read_schedule.h
@@ -24,7 +24,7 @@
 	duration retry{}; ///< Time from the failure of the last open read to the next read.
 	duration longest_retry{}; ///< Upper bound to which repeat and retry grow on nodes for which a peer reads; zero disables the growth.
 	duration first_wait{}; ///< Time from the start of a node in which it expects the topic from the peer that reads for it, instead of reading the whole topic too; zero for none.
-	duration place_step{}; ///< Added to first_wait for each position in the order in which nodes begin to read when no peer sends them the topic.
+	duration rank_step{}; ///< Added to first_wait for each position in the order in which nodes begin to read when no peer sends them the topic.
 };
 
 /** One read to send. */
@@ -63,7 +63,7 @@
 	planned_read begin();
 
 	/** Begins a reading that does not wait, on a new connection. For use after a process stall, when open connections may be broken and their answers outdated. */
-	planned_read begin_after_absence();
+	planned_read begin_after_stall();
 
 	/** Returns the next read once the check_in time of the last one has passed without an answer; empty while the maximum number of reads is open. */
 	std::optional<planned_read> check();
@@ -78,7 +78,7 @@
 	void abandon();
 
 	/** Returns whether the store answered the last reading and the current one is not overdue. True before the first reading. */
-	bool is_heard() const { return _is_responsive; }
+	bool is_responsive() const { return _is_responsive; }
 
 	/** Returns whether a read is open. */
 	bool is_reading() const { return _open > 0; }
@@ -87,10 +87,10 @@
 	bool is_open(std::uint64_t p_reading) const { return _open > 0 && p_reading == _reading; }
 
 	/** Returns whether a peer reads for this node. */
-	bool is_patient() const { return _has_peer_reader; }
+	bool has_peer_reader() const { return _has_peer_reader; }
 
 	/** Sets the position of this node in the order in which nodes read for the first time. */
-	void set_place(std::size_t p_position) { _read_position = p_position; }
+	void set_read_rank(std::size_t p_position) { _read_position = p_position; }
 
 	/**
 	 * Returns the remaining time in which the first reading is left to a peer.
@@ -104,7 +104,7 @@
 	 * 3,899 (two seeds). The time between additional reads grows in the same way: while the store is silent for nine
 	 * seconds, a node requests its endpoints 11 times instead of 23 times.
 	 */
-	void set_patient(bool p_has_peer_reader) { _has_peer_reader = p_has_peer_reader; }
+	void set_has_peer_reader(bool p_has_peer_reader) { _has_peer_reader = p_has_peer_reader; }
 
 	/** Returns the time from a failure to the next read. */
 	duration get_retry() const;
--- a/servers/gateway/result_room.cpp
+++ b/servers/gateway/result_capacity.cpp
@@ -1,30 +1,30 @@
 /*
- * calicoscale: result_room.cpp
+ * calicoscale: result_capacity.cpp
  * Memory that stored results occupy at the replicas of a stage pool.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#include "servers/gateway/result_room.h"
+#include "servers/gateway/result_capacity.h"
 
 #include <algorithm>
 #include <limits>
 
 namespace calicoscale {
 
-void result_room::set_bounds(double p_capacity_bytes, duration p_time_to_live) {
+void result_capacity::set_bounds(double p_capacity_bytes, duration p_time_to_live) {
 	_capacity_bytes = p_capacity_bytes;
 	_time_to_live = p_time_to_live;
 }
 
-void result_room::keep(const std::string &p_handle, const endpoint_identity &p_replica, double p_bytes, const std::string &p_owner, instant p_now) {
+void result_capacity::keep(const std::string &p_handle, const endpoint_identity &p_replica, double p_bytes, const std::string &p_owner, instant p_now) {
 	if (_results.emplace(p_handle, stored_result{ p_replica, p_bytes, p_now + _time_to_live, p_owner }).second) {
 		_replicas[p_replica].used += p_bytes;
 	}
 }
 
-void result_room::set_owner(const std::vector<std::string> &p_handles, const std::string &p_owner) {
+void result_capacity::set_owner(const std::vector<std::string> &p_handles, const std::string &p_owner) {
 	for (const std::string &handle : p_handles) {
 		const auto found = _results.find(handle);
 		if (found != _results.end()) {
@@ -33,7 +33,7 @@
 	}
 }
 
-std::vector<std::string> result_room::get_results_of(const std::string &p_owner) const {
+std::vector<std::string> result_capacity::get_results_of(const std::string &p_owner) const {
 	std::vector<std::string> handles;
 	for (const auto &[handle, result] : _results) {
 		if (result.owner == p_owner) {
@@ -43,7 +43,7 @@
 	return handles;
 }
 
-void result_room::release(const std::vector<std::string> &p_handles) {
+void result_capacity::release(const std::vector<std::string> &p_handles) {
 	for (const std::string &handle : p_handles) {
 		const auto found = _results.find(handle);
 		if (found == _results.end()) {
@@ -57,7 +57,7 @@
 	}
 }
 
-void result_room::expire(instant p_now) {
+void result_capacity::expire(instant p_now) {
 	std::vector<std::string> expired;
 	for (const auto &[handle, result] : _results) {
 		if (p_now >= result.expires_at) {
@@ -67,18 +67,18 @@
 	release(expired);
 }
 
-void result_room::on_refused(const endpoint_identity &p_replica, double p_known_bytes, instant p_now) {
+void result_capacity::on_refused(const endpoint_identity &p_replica, double p_known_bytes, instant p_now) {
 	replica_usage &replica = _replicas[p_replica];
 	replica.unknown = std::max(0.0, _capacity_bytes - p_known_bytes);
 	replica.unknown_at = p_now;
 }
 
-double result_room::get_used(const endpoint_identity &p_replica) const {
+double result_capacity::get_used(const endpoint_identity &p_replica) const {
 	const auto found = _replicas.find(p_replica);
 	return found == _replicas.end() ? 0.0 : found->second.used;
 }
 
-double result_room::get_left(const endpoint_identity &p_replica, instant p_now) const {
+double result_capacity::get_left(const endpoint_identity &p_replica, instant p_now) const {
 	if (_capacity_bytes <= 0.0) {
 		return std::numeric_limits<double>::infinity();
 	}
@@ -93,7 +93,7 @@
 	return _capacity_bytes - replica.used - unknown;
 }
 
-void result_room::forget_replica(const endpoint_identity &p_replica) {
+void result_capacity::forget_replica(const endpoint_identity &p_replica) {
 	_replicas.erase(p_replica);
 	std::erase_if(_results, [&p_replica](const auto &p_entry) { return p_entry.second.replica == p_replica; });
 }
--- a/servers/gateway/result_room.h
+++ b/servers/gateway/result_capacity.h
@@ -1,13 +1,13 @@
 /*
- * calicoscale: result_room.h
+ * calicoscale: result_capacity.h
  * Memory that stored results occupy at the replicas of a stage pool.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#ifndef RESULT_ROOM_H
-#define RESULT_ROOM_H
+#ifndef RESULT_CAPACITY_H
+#define RESULT_CAPACITY_H
 
 #include "core/time.h"
 #include "servers/routing/endpoint_identity.h"
@@ -22,7 +22,7 @@
  * Counts the results that the replicas of a pool store, by owner. When a replica refuses an item for lack of memory, it
  * stores results that are not known here; their size is estimated, and taken to shrink to zero over the time to live.
  */
-class result_room {
+class result_capacity {
 	struct stored_result {
 		endpoint_identity replica;
 		double bytes = 0.0;
@@ -73,7 +73,7 @@
 	double get_left(const endpoint_identity &p_replica, instant p_now) const;
 
 	/** Returns whether a replica has that many bytes free. */
-	bool has_room(const endpoint_identity &p_replica, double p_bytes, instant p_now) const { return p_bytes <= get_left(p_replica, p_now); }
+	bool has_capacity(const endpoint_identity &p_replica, double p_bytes, instant p_now) const { return p_bytes <= get_left(p_replica, p_now); }
 
 	/** Removes a replica that is no longer listed, and its results. */
 	void forget_replica(const endpoint_identity &p_replica);
@@ -81,4 +81,4 @@
 
 } // namespace calicoscale
 
-#endif // RESULT_ROOM_H
+#endif // RESULT_CAPACITY_H
--- a/servers/gateway/sender_places.cpp
+++ b/servers/gateway/sender_slots.cpp
@@ -1,12 +1,12 @@
 /*
- * calicoscale: sender_places.cpp
+ * calicoscale: sender_slots.cpp
  * Selects the nodes that send to an endpoint that accepts only a few requests a second from all nodes together.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#include "servers/gateway/sender_places.h"
+#include "servers/gateway/sender_slots.h"
 
 #include "core/digest.h"
 
@@ -28,7 +28,7 @@
 
 } // namespace
 
-void sender_places::set_senders(const known_senders &p_senders, instant p_now) {
+void sender_slots::set_senders(const known_senders &p_senders, instant p_now) {
 	_fleet_nodes = std::max<std::size_t>(1, p_senders.fleet_nodes);
 	_is_settled = p_senders.is_settled;
 	_first_view_at = _first_view_at == instant{} ? p_now : _first_view_at;
@@ -44,7 +44,7 @@
 	_views.push_back(sender_view{ p_senders.zone_nodes, instant{}, {} });
 }
 
-std::size_t sender_places::_count_in(sender_view &r_view, const endpoint_identity &p_endpoint, std::size_t p_slots) const {
+std::size_t sender_slots::_count_in(sender_view &r_view, const endpoint_identity &p_endpoint, std::size_t p_slots) const {
 	const std::vector<std::string> &nodes = r_view.zone_nodes;
 	const auto known = r_view.ranks.find(p_endpoint);
 	if (known == r_view.ranks.end()) {
@@ -61,7 +61,7 @@
 	return rank ? p_slots / nodes.size() + (*rank < p_slots % nodes.size() ? 1 : 0) : 0;
 }
 
-std::size_t sender_places::count_own(const endpoint_identity &p_endpoint, const std::string &p_zone, std::size_t p_slots, instant p_now) {
+std::size_t sender_slots::count_own(const endpoint_identity &p_endpoint, const std::string &p_zone, std::size_t p_slots, instant p_now) {
 	if (!_is_settled || !_is_own_zone(p_zone) || p_now - _first_view_at < SLOT_ACTIVATION_DELAY) {
 		return 0;
 	}
@@ -73,11 +73,11 @@
 	return min_slots;
 }
 
-std::size_t sender_places::count_soon(const endpoint_identity &p_endpoint, const std::string &p_zone, std::size_t p_slots) {
+std::size_t sender_slots::count_future_slots(const endpoint_identity &p_endpoint, const std::string &p_zone, std::size_t p_slots) {
 	return _views.empty() || !_is_own_zone(p_zone) ? 0 : _count_in(_views.back(), p_endpoint, p_slots);
 }
 
-duration sender_places::get_time_to_hold(instant p_now) const {
+duration sender_slots::get_activation_delay(instant p_now) const {
 	instant active_at = _first_view_at + SLOT_ACTIVATION_DELAY;
 	if (_views.size() > 1) {
 		active_at = std::max(active_at, _views[_views.size() - 2].replaced_at + SLOT_ACTIVATION_DELAY);
@@ -85,11 +85,11 @@
 	return std::max(active_at - p_now, _is_settled ? duration::zero() : SETTLE_DELAY);
 }
 
-double sender_places::get_phase(const endpoint_identity &p_endpoint) const {
+double sender_slots::get_phase(const endpoint_identity &p_endpoint) const {
 	return static_cast<double>(get_score(_vm, p_endpoint)) / static_cast<double>(std::numeric_limits<std::uint64_t>::max());
 }
 
-void sender_places::forget(const endpoint_identity &p_endpoint) {
+void sender_slots::forget(const endpoint_identity &p_endpoint) {
 	for (sender_view &view : _views) {
 		view.ranks.erase(p_endpoint);
 	}
--- a/servers/gateway/sender_places.h
+++ b/servers/gateway/sender_slots.h
@@ -1,13 +1,13 @@
 /*
- * calicoscale: sender_places.h
+ * calicoscale: sender_slots.h
  * Selects the nodes that send to an endpoint that accepts only a few requests a second from all nodes together.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#ifndef SENDER_PLACES_H
-#define SENDER_PLACES_H
+#ifndef SENDER_SLOTS_H
+#define SENDER_SLOTS_H
 
 #include "core/time.h"
 #include "servers/routing/endpoint_identity.h"
@@ -36,7 +36,7 @@
  * just started, or that others do not know yet, begins after the previous holder stops. Nodes that disagree for longer
  * than the delay about which nodes exist may each claim the same slot, so the total rate may double meanwhile.
  */
-class sender_places {
+class sender_slots {
 	/** The nodes of the zone as this node knew them during some period. */
 	struct sender_view {
 		std::vector<std::string> zone_nodes;
@@ -55,7 +55,7 @@
 	std::size_t _count_in(sender_view &r_view, const endpoint_identity &p_endpoint, std::size_t p_slots) const;
 
 public:
-	sender_places(std::string p_vm, std::string p_zone) :
+	sender_slots(std::string p_vm, std::string p_zone) :
 			_vm(std::move(p_vm)), _zone(std::move(p_zone)) {}
 
 	/** Sets the nodes that share the slots. Must be called often from the start of the node, because the activation delay runs from these calls. */
@@ -64,11 +64,11 @@
 	/** Returns the number of active slots that this node has at an endpoint. */
 	std::size_t count_own(const endpoint_identity &p_endpoint, const std::string &p_zone, std::size_t p_slots, instant p_now);
 
-	/** Returns the number of slots that this node will have after get_time_to_hold() if nothing changes. */
-	std::size_t count_soon(const endpoint_identity &p_endpoint, const std::string &p_zone, std::size_t p_slots);
+	/** Returns the number of slots that this node will have after get_activation_delay() if nothing changes. */
+	std::size_t count_future_slots(const endpoint_identity &p_endpoint, const std::string &p_zone, std::size_t p_slots);
 
 	/** Returns the time until the slots become active that this node has according to the nodes it knows now. */
-	duration get_time_to_hold(instant p_now) const;
+	duration get_activation_delay(instant p_now) const;
 
 	/** Returns a hash-based phase of this node at an endpoint, from 0 to 1, that spreads the sends of different nodes. */
 	double get_phase(const endpoint_identity &p_endpoint) const;
@@ -82,4 +82,4 @@
 
 } // namespace calicoscale
 
-#endif // SENDER_PLACES_H
+#endif // SENDER_SLOTS_H
--- a/servers/gateway/waiting_line.h
+++ b/servers/gateway/service_queue.h
@@ -1,13 +1,13 @@
 /*
- * calicoscale: waiting_line.h
+ * calicoscale: service_queue.h
  * Requests that are admitted but not yet sent to an endpoint, in the order of their admission.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#ifndef WAITING_LINE_H
-#define WAITING_LINE_H
+#ifndef SERVICE_QUEUE_H
+#define SERVICE_QUEUE_H
 
 #include <cstddef>
 #include <cstdint>
@@ -19,25 +19,25 @@
 namespace calicoscale {
 
 /** Position of a request in the order of admission; later requests have higher values. */
-using line_place = std::uint64_t;
+using queue_position = std::uint64_t;
 
 /** One queue for each service. */
-class waiting_line {
-	std::map<std::string, std::set<line_place>> _queues;
-	line_place _next = 1;
+class service_queue {
+	std::map<std::string, std::set<queue_position>> _queues;
+	queue_position _next = 1;
 
 public:
 	/** Adds a request that was admitted for a service. */
-	line_place join(const std::string &p_service) {
+	queue_position join(const std::string &p_service) {
 		_queues[p_service].insert(_next);
 		return _next++;
 	}
 
 	/** Removes a request that was sent or has ended. A second call has no effect. */
-	void leave(const std::string &p_service, line_place p_ticket) { _queues[p_service].erase(p_ticket); }
+	void leave(const std::string &p_service, queue_position p_ticket) { _queues[p_service].erase(p_ticket); }
 
 	/** Returns the number of waiting requests for a service that were admitted before a position. */
-	std::size_t count_before(const std::string &p_service, line_place p_ticket) const {
+	std::size_t count_before(const std::string &p_service, queue_position p_ticket) const {
 		const auto queue = _queues.find(p_service);
 		return queue == _queues.end() ? 0 : static_cast<std::size_t>(std::distance(queue->second.begin(), queue->second.lower_bound(p_ticket)));
 	}
@@ -51,4 +51,4 @@
 
 } // namespace calicoscale
 
-#endif // WAITING_LINE_H
+#endif // SERVICE_QUEUE_H
--- a/servers/gateway/stage_call.cpp
+++ b/servers/gateway/stage_call.cpp
@@ -18,7 +18,7 @@
 
 constexpr std::array<enum_name<work_end>, 5> END_NAMES{ {
 		{ work_end::DONE, "done" },
-		{ work_end::INPUT_GONE, "input_gone" },
+		{ work_end::INPUT_LOST, "input_gone" },
 		{ work_end::LATE, "late" },
 		{ work_end::FAILED, "failed" },
 		{ work_end::DROPPED, "dropped" },
--- a/servers/gateway/stage_call.h
+++ b/servers/gateway/stage_call.h
@@ -61,8 +61,8 @@
 enum class item_end {
 	DONE,
 	LATE,
-	INPUT_GONE,
-	NO_ROOM,
+	INPUT_LOST,
+	NO_CAPACITY,
 	FAILED,
 };
 
@@ -83,7 +83,7 @@
 /** Outcome of the work of one stage. */
 enum class work_end {
 	DONE,
-	INPUT_GONE, ///< A result that it needs was lost.
+	INPUT_LOST, ///< A result that it needs was lost.
 	LATE, ///< Its deadline has passed.
 	FAILED,
 	DROPPED, ///< Dropped by the node that it was assigned to; its owner may request it again.
@@ -101,9 +101,9 @@
 };
 
 /** A result that a node owns, as reported to the pool. */
-struct held_result {
+struct owned_result {
 	std::string handle;
-	network_address maker; ///< Replica that produced it.
+	network_address producer; ///< Replica that produced it.
 	std::uint64_t incarnation = 0; ///< Incarnation of that replica; 0 when unknown.
 	double bytes = 0.0;
 };
--- a/servers/gateway/stage_graph.cpp
+++ b/servers/gateway/stage_graph.cpp
@@ -79,7 +79,7 @@
 	return handles;
 }
 
-std::vector<std::string> stage_graph::take_spent(std::size_t p_stage) {
+std::vector<std::string> stage_graph::take_unneeded(std::size_t p_stage) {
 	return _is_consumed(p_stage) ? take_all(p_stage) : std::vector<std::string>();
 }
 
--- a/servers/gateway/stage_graph.h
+++ b/servers/gateway/stage_graph.h
@@ -57,7 +57,7 @@
 	std::vector<std::string> get_final_results() const;
 
 	/** Returns the results of a stage once no other stage needs them; each is returned once. Final results belong to the service and are not returned. */
-	std::vector<std::string> take_spent(std::size_t p_stage);
+	std::vector<std::string> take_unneeded(std::size_t p_stage);
 
 	/** Returns the results of a stage that were not released yet, for the end of the request. */
 	std::vector<std::string> take_all(std::size_t p_stage);
--- a/servers/gateway/stage_pool.cpp
+++ b/servers/gateway/stage_pool.cpp
@@ -67,7 +67,7 @@
 
 void stage_pool::set_spec(const stage_pool_spec &p_spec) {
 	_spec = p_spec;
-	_result_capacity.set_bounds(p_spec.room_bytes, p_spec.result_ttl);
+	_result_capacity.set_bounds(p_spec.capacity_bytes, p_spec.result_ttl);
 	_reset_search();
 }
 
@@ -101,9 +101,9 @@
 			replaced.push_back(replica->first);
 		}
 	}
-	for (const endpoint_identity &maker : replaced) {
-		_result_capacity.forget_replica(maker);
-		_requeue_lost_items(maker);
+	for (const endpoint_identity &producer : replaced) {
+		_result_capacity.forget_replica(producer);
+		_requeue_lost_items(producer);
 	}
 }
 
@@ -111,7 +111,7 @@
 	std::vector<stage_item> lost;
 	for (auto &[id, entry] : _works) {
 		for (std::size_t piece = 0; piece < entry.states.size(); piece++) {
-			if (entry.states[piece] == item_state::DONE && entry.makers[piece] == p_producer) {
+			if (entry.states[piece] == item_state::DONE && entry.producers[piece] == p_producer) {
 				lost.push_back(stage_item{ id, piece });
 			}
 		}
@@ -167,7 +167,7 @@
 	}
 }
 
-void stage_pool::set_unreached_zones(const std::set<std::string> &p_zones, const std::function<bool()> &p_may_repeat) {
+void stage_pool::set_unreachable_zones(const std::set<std::string> &p_zones, const std::function<bool()> &p_may_repeat) {
 	_reset_search();
 	_unreachable_zones = p_zones;
 	const bool is_any_left = std::any_of(_replicas.begin(), _replicas.end(), [this](const auto &p_entry) { return p_entry.second.listed && _is_reachable(p_entry.second); });
@@ -187,7 +187,7 @@
 	entry.states.assign(p_work.pieces, item_state::WAITING);
 	entry.tries.assign(p_work.pieces, 0);
 	entry.handles.resize(p_work.pieces);
-	entry.makers.resize(p_work.pieces);
+	entry.producers.resize(p_work.pieces);
 	entry.waiting = p_work.pieces;
 	entry.missing = p_work.pieces;
 	entry.queued_at = p_now;
@@ -217,8 +217,8 @@
 	queued_work &entry = _works.at(p_id);
 	work_result result{ p_id, p_end, {}, {} };
 	if (p_end == work_end::DONE) {
-		for (const endpoint_identity &maker : entry.makers) {
-			result.incarnations.push_back(maker.incarnation);
+		for (const endpoint_identity &producer : entry.producers) {
+			result.incarnations.push_back(producer.incarnation);
 		}
 		result.handles = std::move(entry.handles);
 		entry.handles.clear();
@@ -235,7 +235,7 @@
 	const duration left = p_work.work.due_at - p_now;
 	const bool is_split = p_work.missing < p_work.states.size();
 	const bool has_cost = is_split || !p_work.work.inputs.empty();
-	const bool is_late = left < _get_expected(p_work.missing) && _mechanisms.has(mechanism::LATE_LAST);
+	const bool is_late = left < _get_expected(p_work.missing) && _mechanisms.has(mechanism::LATE_WORK_LAST);
 	const int rank = _mechanisms.has(mechanism::PRIORITY_ORDER) ? p_work.work.priority : 0;
 	const duration late_penalty = has_cost ? _spec.result_ttl / LATE_TTL_DIVISOR : LATE_PENALTY;
 	return left + PRIORITY_STEP * rank + (is_late ? late_penalty : duration::zero());
@@ -304,7 +304,7 @@
 }
 
 double stage_pool::_get_free_bytes(const stage_replica &p_replica, instant p_now) const {
-	return _mechanisms.has(mechanism::ROOM) ? _result_capacity.get_left(p_replica.listing.get_identity(), p_now) : std::numeric_limits<double>::infinity();
+	return _mechanisms.has(mechanism::RESULT_CAPACITY) ? _result_capacity.get_left(p_replica.listing.get_identity(), p_now) : std::numeric_limits<double>::infinity();
 }
 
 void stage_pool::_estimate_unknown_usage(const running_call &p_call, const std::vector<item_result> &p_items, instant p_now) {
@@ -314,7 +314,7 @@
 		const auto work = _works.find(p_call.items[i].work);
 		const bool is_made = p_items[i].end == item_end::DONE && work != _works.end();
 		made_bytes += is_made ? static_cast<double>(work->second.work.result_bytes) : 0.0;
-		was_full = was_full || p_items[i].end == item_end::NO_ROOM;
+		was_full = was_full || p_items[i].end == item_end::NO_CAPACITY;
 	}
 	// The replica had no memory for an item although the known results fit, so results of an earlier dispatcher occupy the remainder.
 	if (was_full) {
@@ -322,16 +322,16 @@
 	}
 }
 
-void stage_pool::on_results_told(const std::string &p_owner, const std::vector<held_result> &p_results, instant p_now) {
-	for (const held_result &result : p_results) {
+void stage_pool::on_results_reported(const std::string &p_owner, const std::vector<owned_result> &p_results, instant p_now) {
+	for (const owned_result &result : p_results) {
 		// Searches backwards for the latest incarnation, as the incarnations of one replica are in ascending order.
-		const auto maker = std::find_if(_replicas.rbegin(), _replicas.rend(), [&result](const auto &p_entry) {
+		const auto producer = std::find_if(_replicas.rbegin(), _replicas.rend(), [&result](const auto &p_entry) {
 			const endpoint_listing &listing = p_entry.second.listing;
 			const bool is_same_incarnation = result.incarnation == 0 || result.incarnation == listing.incarnation;
-			return listing.address == result.maker && is_same_incarnation;
+			return listing.address == result.producer && is_same_incarnation;
 		});
-		if (maker != _replicas.rend()) {
-			_result_capacity.keep(result.handle, maker->first, result.bytes, p_owner, p_now);
+		if (producer != _replicas.rend()) {
+			_result_capacity.keep(result.handle, producer->first, result.bytes, p_owner, p_now);
 		}
 	}
 }
@@ -365,7 +365,7 @@
 		}
 		const duration penalty = _get_zone_penalty(p_work, zone.zone, p_now);
 		const duration ahead = has_zone ? _get_time_ahead(p_ahead, zone.zone, zone.replicas) : ahead_of_all;
-		for (const call_candidate *first : { call_candidates::find_first_with_room(zone.free, bytes), call_candidates::find_first_with_room(zone.busy, bytes) }) {
+		for (const call_candidate *first : { call_candidates::find_first_with_capacity(zone.free, bytes), call_candidates::find_first_with_capacity(zone.busy, bytes) }) {
 			if (first == nullptr) {
 				continue;
 			}
@@ -450,7 +450,7 @@
 		if (call.items.empty()) {
 			continue;
 		}
-		running_call running{ call.replica, call.items, p_now, _get_expected(call.items.size()), false, _result_capacity.get_used(call.replica), replica->pace.get_told(p_now) };
+		running_call running{ call.replica, call.items, p_now, _get_expected(call.items.size()), false, _result_capacity.get_used(call.replica), replica->pace.get_reported(p_now) };
 		replica->calls++;
 		replica->free_at = p_now + duration(static_cast<duration::rep>(static_cast<double>(running.expected.count()) * _get_slowness(*replica, p_now)));
 		_calls.emplace(call.id, std::move(running));
@@ -492,9 +492,9 @@
 	p_replica.pace.learn(static_cast<double>((p_now - p_call.started_at).count()) / expected, p_call.reported_slowdown, p_now);
 }
 
-void stage_pool::on_pace_told(const endpoint_identity &p_replica, double p_factor, instant p_now) {
+void stage_pool::on_load_reported(const endpoint_identity &p_replica, double p_factor, instant p_now) {
 	const auto replica = _replicas.find(p_replica);
-	if (replica != _replicas.end() && _mechanisms.has(mechanism::TOLD_PACE)) {
+	if (replica != _replicas.end() && _mechanisms.has(mechanism::REPORTED_SLOWDOWN)) {
 		replica->second.pace.tell(p_factor, p_now);
 	}
 }
@@ -504,8 +504,8 @@
 	if (p_result.end == item_end::DONE) {
 		_meter.on_item_completed();
 		const double bytes = found == _works.end() ? 0.0 : static_cast<double>(found->second.work.result_bytes);
-		const endpoint_identity maker = p_replica == nullptr ? endpoint_identity() : p_replica->listing.get_identity();
-		_result_capacity.keep(p_result.handle, maker, bytes, "", p_now);
+		const endpoint_identity producer = p_replica == nullptr ? endpoint_identity() : p_replica->listing.get_identity();
+		_result_capacity.keep(p_result.handle, producer, bytes, "", p_now);
 		const bool is_made = found != _works.end() && found->second.states[p_item.piece] == item_state::DONE;
 		if (found == _works.end() || (is_made && found->second.handles[p_item.piece] != p_result.handle)) {
 			_unwanted.insert(p_result.handle);
@@ -520,7 +520,7 @@
 		}
 		entry.states[p_item.piece] = item_state::DONE;
 		entry.handles[p_item.piece] = p_result.handle;
-		entry.makers[p_item.piece] = maker;
+		entry.producers[p_item.piece] = producer;
 		entry.missing--;
 		if (entry.missing == 0) {
 			_end(p_item.work, work_end::DONE);
@@ -534,10 +534,10 @@
 		case item_end::LATE:
 			_end(p_item.work, work_end::LATE);
 			return;
-		case item_end::INPUT_GONE:
-			_end(p_item.work, work_end::INPUT_GONE);
+		case item_end::INPUT_LOST:
+			_end(p_item.work, work_end::INPUT_LOST);
 			return;
-		case item_end::NO_ROOM:
+		case item_end::NO_CAPACITY:
 			if (p_replica != nullptr) {
 				_block(*p_replica, NO_CAPACITY_BLOCK, p_now);
 			}
@@ -629,7 +629,7 @@
 	return ended;
 }
 
-std::vector<std::string> stage_pool::take_unwanted() {
+std::vector<std::string> stage_pool::take_unneeded_results() {
 	std::vector<std::string> handles(_unwanted.begin(), _unwanted.end());
 	_unwanted.clear();
 	return handles;
--- a/servers/gateway/stage_pool.h
+++ b/servers/gateway/stage_pool.h
@@ -13,7 +13,7 @@
 #include "servers/gateway/gateway_configuration.h"
 #include "servers/gateway/mechanism.h"
 #include "servers/gateway/pool_meter.h"
-#include "servers/gateway/result_room.h"
+#include "servers/gateway/result_capacity.h"
 #include "servers/gateway/stage_call.h"
 #include "servers/gateway/stage_replica.h"
 
@@ -47,7 +47,7 @@
 		std::vector<item_state> states;
 		std::vector<int> tries;
 		std::vector<std::string> handles;
-		std::vector<endpoint_identity> makers; ///< Replicas that store the results, by item.
+		std::vector<endpoint_identity> producers; ///< Replicas that store the results, by item.
 		std::size_t waiting = 0;
 		std::size_t missing = 0;
 		instant queued_at{};
@@ -74,7 +74,7 @@
 	std::function<bool(const endpoint_identity &, instant)> _limit;
 	std::map<work_id, queued_work> _works;
 	std::map<std::uint64_t, running_call> _calls;
-	result_room _result_capacity;
+	result_capacity _result_capacity;
 	std::vector<work_result> _ended;
 	std::set<std::string> _unwanted; ///< Handles of results that no work needs; to be released.
 	std::uint64_t _next_call = 1;
@@ -140,7 +140,7 @@
 	 * open calls are queued again at once. An answer that arrives nevertheless is used.
 	 * @param p_may_repeat reserves permission to repeat a call; false when the limit on repeats is reached.
 	 */
-	void set_unreached_zones(const std::set<std::string> &p_zones, const std::function<bool()> &p_may_repeat);
+	void set_unreachable_zones(const std::set<std::string> &p_zones, const std::function<bool()> &p_may_repeat);
 
 	/** Queues work under an id that the caller assigned. */
 	void add(work_id p_id, stage_work p_work, instant p_now);
@@ -155,13 +155,13 @@
 	void on_call_ended(std::uint64_t p_call, call_end p_end, const std::vector<item_result> &p_items, instant p_now);
 
 	/** Records the slowdown factor that a replica reported: how much longer than typical work takes there at present. */
-	void on_pace_told(const endpoint_identity &p_replica, double p_factor, instant p_now);
+	void on_load_reported(const endpoint_identity &p_replica, double p_factor, instant p_now);
 
 	/** Records that a node owns the results: it releases them, and if it fails, get_results_of() names them. */
 	void set_owner(const std::vector<std::string> &p_handles, const std::string &p_owner) { _result_capacity.set_owner(p_handles, p_owner); }
 
 	/** Records results that a node reports as its own, produced before this node became the dispatcher of the pool. */
-	void on_results_told(const std::string &p_owner, const std::vector<held_result> &p_results, instant p_now);
+	void on_results_reported(const std::string &p_owner, const std::vector<owned_result> &p_results, instant p_now);
 
 	/** Returns the handles of the results that a failed node owns; they are still to be released. */
 	std::vector<std::string> get_results_of(const std::string &p_owner) const { return _result_capacity.get_results_of(p_owner); }
@@ -183,7 +183,7 @@
 	std::vector<work_result> take_ended();
 
 	/** Returns the handles of results that no work needs, to be released. */
-	std::vector<std::string> take_unwanted();
+	std::vector<std::string> take_unneeded_results();
 
 	/**
 	 * Returns the capacity of the pool in typical replicas that run full calls. While work waits, the measured throughput
@@ -197,7 +197,7 @@
 	/** Returns the maximum number of items in a call. */
 	std::size_t get_batch() const { return _spec.batch; }
 	const stage_work *find_work(work_id p_id) const;
-	std::size_t get_waiting_pieces() const { return _waiting_items; }
+	std::size_t get_waiting_items() const { return _waiting_items; }
 	std::size_t get_work_count() const { return _works.size(); }
 };
 
--- a/servers/gateway/stage_replica.h
+++ b/servers/gateway/stage_replica.h
@@ -9,7 +9,7 @@
 #ifndef STAGE_REPLICA_H
 #define STAGE_REPLICA_H
 
-#include "servers/load/replica_pace.h"
+#include "servers/load/replica_slowdown.h"
 #include "servers/routing/endpoint_state.h"
 
 namespace calicoscale {
@@ -23,7 +23,7 @@
 	instant free_at{}; ///< Time at which the running call is expected to end.
 	instant blocked_until{};
 	int failures = 0; ///< Number of consecutive failed calls.
-	replica_pace pace;
+	replica_slowdown pace;
 };
 
 } // namespace calicoscale
--- a/servers/gateway/stage_times.cpp
+++ b/servers/gateway/stage_times.cpp
@@ -33,7 +33,7 @@
 	return p_spec.call_time + p_spec.piece_time * static_cast<duration::rep>(shared);
 }
 
-std::vector<duration> get_times_after(const gateway_configuration &p_configuration, const gateway_route &p_route, const std::vector<std::size_t> &p_item_counts) {
+std::vector<duration> get_remaining_stage_times(const gateway_configuration &p_configuration, const gateway_route &p_route, const std::vector<std::size_t> &p_item_counts) {
 	const std::vector<stage_spec> &stages = p_route.stages;
 	std::vector<duration> after(stages.size(), duration::zero());
 	// The inputs of a stage precede it, so in reverse order the time after a stage is final when its inputs are updated.
--- a/servers/gateway/stage_times.h
+++ b/servers/gateway/stage_times.h
@@ -22,7 +22,7 @@
  * Returns for each stage the time from its end until the last stage is done, along the longest chain.
  * @param p_item_counts number of items of each stage; missing entries count as 0, and a stage without items takes no time.
  */
-std::vector<duration> get_times_after(const gateway_configuration &p_configuration, const gateway_route &p_route, const std::vector<std::size_t> &p_item_counts);
+std::vector<duration> get_remaining_stage_times(const gateway_configuration &p_configuration, const gateway_route &p_route, const std::vector<std::size_t> &p_item_counts);
 
 } // namespace calicoscale
 
--- a/servers/gateway/stage_transfers.cpp
+++ b/servers/gateway/stage_transfers.cpp
@@ -12,7 +12,7 @@
 
 namespace calicoscale {
 
-std::size_t get_crossed_bytes(const std::vector<result_transfer> &p_transfers) {
+std::size_t get_cross_zone_bytes(const std::vector<result_transfer> &p_transfers) {
 	std::size_t cross_zone_bytes = 0;
 	for (const result_transfer &transfer : p_transfers) {
 		cross_zone_bytes += transfer.from_zone == transfer.to_zone ? 0 : transfer.bytes;
@@ -28,7 +28,7 @@
 	return counts;
 }
 
-std::string stage_transfers::find_makers_zone(const std::vector<std::string> &p_handles) const {
+std::string stage_transfers::find_producers_zone(const std::vector<std::string> &p_handles) const {
 	const zone_counts counts = _count_zones(p_handles);
 	const auto largest = std::max_element(counts.begin(), counts.end(), [](const auto &p_left, const auto &p_right) { return p_left.second < p_right.second; });
 	return largest == counts.end() ? "" : largest->first;
--- a/servers/gateway/stage_transfers.h
+++ b/servers/gateway/stage_transfers.h
@@ -28,7 +28,7 @@
 };
 
 /** Returns the number of bytes read from another zone. */
-std::size_t get_crossed_bytes(const std::vector<result_transfer> &p_transfers);
+std::size_t get_cross_zone_bytes(const std::vector<result_transfer> &p_transfers);
 
 /** Derives transfers from the stage graph of one request. A callback returns the zone in which a result was produced, by its handle. */
 class stage_transfers {
@@ -46,7 +46,7 @@
 			_stages(p_stages), _get_zone(std::move(p_get_zone)) {}
 
 	/** Returns the zone in which most of the results were produced; empty when there are none. */
-	std::string find_makers_zone(const std::vector<std::string> &p_handles) const;
+	std::string find_producers_zone(const std::vector<std::string> &p_handles) const;
 
 	/** Returns what the items of a completed stage have read. */
 	std::vector<result_transfer> get_inputs_read(std::size_t p_stage) const;
--- a/servers/gateway/news_digest.h
+++ b/servers/gateway/update_batch.h
@@ -1,13 +1,13 @@
 /*
- * calicoscale: news_digest.h
+ * calicoscale: update_batch.h
  * Collects updates for other nodes and bounds the messages that carry them.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#ifndef NEWS_DIGEST_H
-#define NEWS_DIGEST_H
+#ifndef UPDATE_BATCH_H
+#define UPDATE_BATCH_H
 
 #include "servers/gateway/message_budget.h"
 
@@ -26,7 +26,7 @@
  * the traffic of a node is bounded, while in a small fleet everything is sent at once. The caller passes the current time.
  */
 template <typename record>
-class news_digest {
+class update_batch {
 	std::size_t _max_records;
 	std::function<double(const record &)> _get_worth;
 	message_budget _budget;
@@ -35,7 +35,7 @@
 
 public:
 	/** @param p_max_records maximum number of records in a message. @param p_get_worth returns how much a record is worth to others. */
-	news_digest(std::size_t p_max_records, std::function<double(const record &)> p_get_worth) :
+	update_batch(std::size_t p_max_records, std::function<double(const record &)> p_get_worth) :
 			_max_records(p_max_records), _get_worth(std::move(p_get_worth)) {}
 
 	void add(record p_record) { _pending.push_back(std::move(p_record)); }
@@ -63,4 +63,4 @@
 
 } // namespace calicoscale
 
-#endif // NEWS_DIGEST_H
+#endif // UPDATE_BATCH_H
--- a/servers/gateway/zone_reach.cpp
+++ b/servers/gateway/zone_reachability.cpp
@@ -1,12 +1,12 @@
 /*
- * calicoscale: zone_reach.cpp
+ * calicoscale: zone_reachability.cpp
  * Detects which availability zones this node can reach.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#include "servers/gateway/zone_reach.h"
+#include "servers/gateway/zone_reachability.h"
 
 #include <algorithm>
 
@@ -21,31 +21,31 @@
 
 } // namespace
 
-bool zone_reach::_is_silent(const zone_state &p_state, instant p_now) {
-	const instant last_contact_at = std::max(p_state.node_heard_at, p_state.endpoint_heard_at);
-	return p_state.node_heard_at != instant{} && p_now - last_contact_at >= ZONE_TIMEOUT;
+bool zone_reachability::_is_silent(const zone_state &p_state, instant p_now) {
+	const instant last_contact_at = std::max(p_state.last_node_contact_at, p_state.last_endpoint_contact_at);
+	return p_state.last_node_contact_at != instant{} && p_now - last_contact_at >= ZONE_TIMEOUT;
 }
 
-void zone_reach::on_node_heard(const std::string &p_zone, instant p_now) {
-	_zones[p_zone].node_heard_at = p_now;
+void zone_reachability::on_node_contact(const std::string &p_zone, instant p_now) {
+	_zones[p_zone].last_node_contact_at = p_now;
 }
 
-void zone_reach::on_endpoint_heard(const std::string &p_zone, instant p_now) {
-	_zones[p_zone].endpoint_heard_at = p_now;
+void zone_reachability::on_endpoint_contact(const std::string &p_zone, instant p_now) {
+	_zones[p_zone].last_endpoint_contact_at = p_now;
 }
 
-bool zone_reach::is_reached(const std::string &p_zone, instant p_now) const {
+bool zone_reachability::is_reached(const std::string &p_zone, instant p_now) const {
 	const auto found = _zones.find(p_zone);
 	return p_zone == _own_zone || found == _zones.end() || !_is_silent(found->second, p_now);
 }
 
-std::vector<zone_reach::change> zone_reach::check(instant p_now) {
+std::vector<zone_reachability::change> zone_reachability::check(instant p_now) {
 	const bool was_stalled = _checked_at != instant{} && p_now - _checked_at > MAX_CHECK_GAP;
 	_checked_at = p_now;
 	std::vector<change> changes;
 	for (auto &[zone, state] : _zones) {
-		if (was_stalled && state.was_reachable && state.node_heard_at != instant{}) {
-			state.node_heard_at = p_now;
+		if (was_stalled && state.was_reachable && state.last_node_contact_at != instant{}) {
+			state.last_node_contact_at = p_now;
 		}
 		const bool is_reachable_now = is_reached(zone, p_now);
 		if (is_reachable_now != state.was_reachable) {
@@ -56,7 +56,7 @@
 	return changes;
 }
 
-std::set<std::string> zone_reach::get_unreached() const {
+std::set<std::string> zone_reachability::get_unreachable() const {
 	std::set<std::string> zones;
 	for (const auto &[zone, state] : _zones) {
 		if (!state.was_reachable) {
--- a/servers/gateway/zone_reach.h
+++ b/servers/gateway/zone_reachability.h
@@ -1,13 +1,13 @@
 /*
- * calicoscale: zone_reach.h
+ * calicoscale: zone_reachability.h
  * Detects which availability zones this node can reach.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#ifndef ZONE_REACH_H
-#define ZONE_REACH_H
+#ifndef ZONE_REACHABILITY_H
+#define ZONE_REACHABILITY_H
 
 #include "core/time.h"
 
@@ -26,10 +26,10 @@
  * Without this check, when one of three zones is unreachable its endpoints get a third of the sends for two seconds, until
  * each connection to them has timed out.
  */
-class zone_reach {
+class zone_reachability {
 	struct zone_state {
-		instant node_heard_at{}; ///< Time of the last message from any node there.
-		instant endpoint_heard_at{}; ///< Time of the last byte from any endpoint there.
+		instant last_node_contact_at{}; ///< Time of the last message from any node there.
+		instant last_endpoint_contact_at{}; ///< Time of the last byte from any endpoint there.
 		bool was_reachable = true;
 	};
 
@@ -46,20 +46,20 @@
 		bool is_reached = true;
 	};
 
-	explicit zone_reach(std::string p_own_zone) :
+	explicit zone_reachability(std::string p_own_zone) :
 			_own_zone(std::move(p_own_zone)) {}
 
 	/** Records a message from a node of a zone. */
-	void on_node_heard(const std::string &p_zone, instant p_now);
+	void on_node_contact(const std::string &p_zone, instant p_now);
 
 	/** Records bytes or a new connection from an endpoint of a zone. */
-	void on_endpoint_heard(const std::string &p_zone, instant p_now);
+	void on_endpoint_contact(const std::string &p_zone, instant p_now);
 
 	/** Returns whether a zone is reachable as far as known; a zone from which no node message was ever received counts as reachable. */
 	bool is_reached(const std::string &p_zone, instant p_now) const;
 
 	/** Returns the zones that were unreachable at the last check. */
-	std::set<std::string> get_unreached() const;
+	std::set<std::string> get_unreachable() const;
 
 	/** Returns the changes since the last call. Must be called often: a gap between calls counts as a process stall, after which the silence of each zone is measured anew. */
 	std::vector<change> check(instant p_now);
@@ -67,4 +67,4 @@
 
 } // namespace calicoscale
 
-#endif // ZONE_REACH_H
+#endif // ZONE_REACHABILITY_H
--- a/servers/limits/concurrency_limit.h
+++ b/servers/limits/concurrency_limit.h
@@ -36,7 +36,7 @@
 	concurrency_limit(double p_start, double p_min_limit, double p_max_limit);
 
 	/** Returns whether one more attempt may start. */
-	bool has_room() const { return _in_flight < static_cast<int>(_limit); }
+	bool has_capacity() const { return _in_flight < static_cast<int>(_limit); }
 	void on_started() { _in_flight++; }
 
 	/** Records a successful attempt. @param p_relative_latency its latency divided by the typical one for its size. */
--- a/servers/limits/customer_limiter.cpp
+++ b/servers/limits/customer_limiter.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-void customer_limiter::set_part(const std::string &p_customer, const customer_limits &p_limits, const limit_part &p_part, instant p_now) {
+void customer_limiter::set_part(const std::string &p_customer, const customer_limits &p_limits, const node_limit_share &p_part, instant p_now) {
 	customer_state &state = _customers[p_customer];
 	state.limits = p_limits;
 	state.part = p_part;
--- a/servers/limits/customer_limiter.h
+++ b/servers/limits/customer_limiter.h
@@ -31,7 +31,7 @@
 	struct customer_state {
 		token_bucket bucket;
 		customer_limits limits;
-		limit_part part;
+		node_limit_share part;
 		int running = 0;
 		double demand = 0.0; ///< Requests per second, exponentially decaying.
 		instant demand_at{}; ///< When demand was last updated.
@@ -44,7 +44,7 @@
 
 public:
 	/** Sets a customer's limits and this node's share of them. */
-	void set_part(const std::string &p_customer, const customer_limits &p_limits, const limit_part &p_part, instant p_now);
+	void set_part(const std::string &p_customer, const customer_limits &p_limits, const node_limit_share &p_part, instant p_now);
 
 	/** Removes a customer that is no longer configured; does nothing while it has running requests. */
 	void forget(const std::string &p_customer);
--- a/servers/limits/limit_share.cpp
+++ b/servers/limits/limit_share.cpp
@@ -124,7 +124,7 @@
 	return static_cast<customer_code>(hash_bytes(p_customer));
 }
 
-limit_part compute_limit_part(const std::string &p_self, const std::vector<share_member> &p_members, const std::vector<std::string> &p_zones, const std::string &p_customer, double p_rate, int p_concurrency) {
+node_limit_share compute_limit_share(const std::string &p_self, const std::vector<share_member> &p_members, const std::vector<std::string> &p_zones, const std::string &p_customer, double p_rate, int p_concurrency) {
 	const customer_code code = get_customer_code(p_customer);
 	std::vector<zone_share> zones = gather_zones(p_members, p_zones, code);
 	if (zones.empty()) {
@@ -152,7 +152,7 @@
 	for (auto &[vm, share] : shares) {
 		share /= total;
 	}
-	limit_part result;
+	node_limit_share result;
 	result.rate_share = own_zone->share * shares[p_self];
 	const int zone_slots = static_cast<int>(std::floor(own_zone->share * p_concurrency));
 	result.concurrency = divide_slots(p_self, shares, p_customer, zone_slots);
--- a/servers/limits/limit_share.h
+++ b/servers/limits/limit_share.h
@@ -35,7 +35,7 @@
 };
 
 /** A node's share of one customer's limits. */
-struct limit_part {
+struct node_limit_share {
 	double rate_share = 0.0; ///< Share of the rate, 0 to 1.
 	int concurrency = 0; ///< Number of concurrent requests.
 };
@@ -50,7 +50,7 @@
  * @param p_self name of the own VM; must be among p_members.
  * @param p_zones configured zones; if empty, the zones of the members.
  */
-limit_part compute_limit_part(const std::string &p_self, const std::vector<share_member> &p_members, const std::vector<std::string> &p_zones, const std::string &p_customer, double p_rate, int p_concurrency);
+node_limit_share compute_limit_share(const std::string &p_self, const std::vector<share_member> &p_members, const std::vector<std::string> &p_zones, const std::string &p_customer, double p_rate, int p_concurrency);
 
 } // namespace calicoscale
 
--- a/servers/limits/pool_gate.cpp
+++ b/servers/limits/pool_gate.cpp
@@ -44,7 +44,7 @@
 }
 
 void pool_gate::_fill(instant p_now, gate_changes &r_changes) {
-	while (_limit.has_room()) {
+	while (_limit.has_capacity()) {
 		const std::optional<queued_request> next = _queue.pop(p_now, r_changes.expired);
 		if (!next) {
 			return;
@@ -62,26 +62,26 @@
 	gate_changes changes;
 	const std::optional<dropped_request> dropped = _queue.push(p_request);
 	if (dropped) {
-		changes.crowded_out.push_back(*dropped);
+		changes.evicted_requests.push_back(*dropped);
 	}
 	_fill(p_now, changes);
 	return changes;
 }
 
-gate_changes pool_gate::leave(place_use p_use, duration p_held_time, double p_relative_latency, instant p_now) {
+gate_changes pool_gate::leave(slot_outcome p_use, duration p_held_time, double p_relative_latency, instant p_now) {
 	switch (p_use) {
-		case place_use::SUCCEEDED:
+		case slot_outcome::SUCCEEDED:
 			_limit.on_success(p_relative_latency);
 			_retries.on_success(p_now);
 			_spare_retries.on_success(p_now);
 			_hedges.on_success(p_now);
 			_record_refusal(0.0);
 			break;
-		case place_use::REFUSED:
+		case slot_outcome::REFUSED:
 			_limit.on_refused(p_now);
 			_record_refusal(1.0);
 			break;
-		case place_use::FAILED:
+		case slot_outcome::FAILED:
 			_limit.on_ended();
 			break;
 	}
@@ -117,7 +117,7 @@
 }
 
 duration pool_gate::estimate_wait(const std::string &p_customer, double p_weight) const {
-	if (_limit.has_room()) {
+	if (_limit.has_capacity()) {
 		return duration::zero();
 	}
 	const double ahead = _queue.count_ahead(p_customer, p_weight);
--- a/servers/limits/pool_gate.h
+++ b/servers/limits/pool_gate.h
@@ -16,7 +16,7 @@
 namespace calicoscale {
 
 /** Outcome of an attempt that used a slot of a pool. */
-enum class place_use {
+enum class slot_outcome {
 	SUCCEEDED,
 	REFUSED, ///< The pool refused the attempt because of overload.
 	FAILED, ///< Any other end; says nothing about load.
@@ -26,7 +26,7 @@
 struct gate_changes {
 	std::vector<request_id> admitted;
 	std::vector<dropped_request> expired; ///< Dropped, because they waited past their start_by.
-	std::vector<dropped_request> crowded_out; ///< Dropped from a full queue.
+	std::vector<dropped_request> evicted_requests; ///< Dropped from a full queue.
 };
 
 /** Limits this node's concurrency at one pool, queues the requests above the limit and limits retries and hedges. */
@@ -58,7 +58,7 @@
 	 * @param p_held_time time for which it was held.
 	 * @param p_relative_latency latency divided by the typical one; used for SUCCEEDED.
 	 */
-	gate_changes leave(place_use p_use, duration p_held_time, double p_relative_latency, instant p_now);
+	gate_changes leave(slot_outcome p_use, duration p_held_time, double p_relative_latency, instant p_now);
 
 	/** Removes a waiting request, e.g. because its caller disconnected. Returns whether it was waiting. */
 	bool abandon(const request_id &p_id) { return _queue.remove(p_id); }
--- a/servers/limits/stage_times.cpp
+++ b/servers/limits/stage_times.cpp
@@ -34,12 +34,12 @@
 	return result;
 }
 
-void stage_times::add(const std::string &p_pool, timed_part p_part, size_class p_size, duration p_elapsed, instant p_now) {
-	const duration half_life = p_part == timed_part::UNLOADED ? LONG_HALF_LIFE : SHORT_HALF_LIFE;
+void stage_times::add(const std::string &p_pool, time_kind p_part, size_class p_size, duration p_elapsed, instant p_now) {
+	const duration half_life = p_part == time_kind::UNLOADED ? LONG_HALF_LIFE : SHORT_HALF_LIFE;
 	_sketches.try_emplace(key{ p_pool, p_part, p_size }, half_life).first->second.add(p_elapsed, p_now);
 }
 
-duration stage_times::estimate(const std::string &p_pool, timed_part p_part, size_class p_size, double p_quantile, instant p_now) const {
+duration stage_times::estimate(const std::string &p_pool, time_kind p_part, size_class p_size, double p_quantile, instant p_now) const {
 	const quantile_sketch *nearest = nullptr;
 	int nearest_distance = MAX_CLASS + 1;
 	const auto first = _sketches.lower_bound(key{ p_pool, p_part, 0 });
--- a/servers/limits/stage_times.h
+++ b/servers/limits/stage_times.h
@@ -18,8 +18,8 @@
 namespace calicoscale {
 
 /** Kind of a measured time. */
-enum class timed_part {
-	WHOLE, ///< From the start to the complete answer.
+enum class time_kind {
+	TOTAL, ///< From the start to the complete answer.
 	FIRST_TOKEN, ///< From the start to the first token of a stream.
 	UNLOADED, ///< As WHOLE, but with a long half-life; its low quantiles estimate the time without queueing.
 };
@@ -34,7 +34,7 @@
 class stage_times {
 	struct key {
 		std::string pool;
-		timed_part part;
+		time_kind part;
 		size_class size;
 		auto operator<=>(const key &p_other) const = default;
 	};
@@ -43,13 +43,13 @@
 
 public:
 	/** Adds one measured time. */
-	void add(const std::string &p_pool, timed_part p_part, size_class p_size, duration p_elapsed, instant p_now);
+	void add(const std::string &p_pool, time_kind p_part, size_class p_size, duration p_elapsed, instant p_now);
 
 	/**
 	 * Returns a quantile of a stage's time. If the class has too few samples, the nearest class with enough is used
 	 * instead; zero if the pool has none.
 	 */
-	duration estimate(const std::string &p_pool, timed_part p_part, size_class p_size, double p_quantile, instant p_now) const;
+	duration estimate(const std::string &p_pool, time_kind p_part, size_class p_size, double p_quantile, instant p_now) const;
 
 	/** Returns the number of stored sketches. */
 	std::size_t get_sketch_count() const { return _sketches.size(); }
--- a/servers/load/replica_pace.cpp
+++ b/servers/load/replica_slowdown.cpp
@@ -1,12 +1,12 @@
 /*
- * calicoscale: replica_pace.cpp
+ * calicoscale: replica_slowdown.cpp
  * Estimates by which factor one replica is slower than typical.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#include "servers/load/replica_pace.h"
+#include "servers/load/replica_slowdown.h"
 
 #include <algorithm>
 #include <cmath>
@@ -28,29 +28,29 @@
 
 } // namespace
 
-double replica_pace::_get_estimated(instant p_now) const {
+double replica_slowdown::_get_estimated(instant p_now) const {
 	return decay_factor(_estimated, p_now - _estimated_at, ESTIMATE_DECAY);
 }
 
-void replica_pace::tell(double p_factor, instant p_now) {
+void replica_slowdown::tell(double p_factor, instant p_now) {
 	_reported = std::clamp(p_factor, 1.0, MAX_FACTOR);
 	_reported_at = p_now;
 }
 
-double replica_pace::get_told(instant p_now) const {
+double replica_slowdown::get_reported(instant p_now) const {
 	return decay_factor(_reported, p_now - _reported_at, REPORT_DECAY);
 }
 
-void replica_pace::learn(double p_sample, double p_reported_before, instant p_now) {
+void replica_slowdown::learn(double p_sample, double p_reported_before, instant p_now) {
 	// The answer reported the factor at the end of the call, so the mean of both ends is taken for the whole call.
-	const double explained = (p_reported_before + get_told(p_now)) / 2.0;
+	const double explained = (p_reported_before + get_reported(p_now)) / 2.0;
 	const double sample = std::clamp(p_sample, MIN_SAMPLE, MAX_FACTOR) / explained;
 	const double current = _get_estimated(p_now);
 	_estimated = current + (sample - current) * ESTIMATE_STEP;
 	_estimated_at = p_now;
 }
 
-void replica_pace::note_overrun(double p_min_factor, instant p_now) {
+void replica_slowdown::note_overrun(double p_min_factor, instant p_now) {
 	_estimated = std::max(_get_estimated(p_now), p_min_factor);
 	_estimated_at = p_now;
 }
--- a/servers/load/replica_pace.h
+++ b/servers/load/replica_slowdown.h
@@ -1,13 +1,13 @@
 /*
- * calicoscale: replica_pace.h
+ * calicoscale: replica_slowdown.h
  * Estimates by which factor one replica is slower than typical.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#ifndef REPLICA_PACE_H
-#define REPLICA_PACE_H
+#ifndef REPLICA_SLOWDOWN_H
+#define REPLICA_SLOWDOWN_H
 
 #include "core/time.h"
 
@@ -19,7 +19,7 @@
  * which decays within some tenths of a second. The reported factor is divided out of the measured times, so that a replica whose
  * hardware is busy for a moment isn't estimated to be slow by itself.
  */
-class replica_pace {
+class replica_slowdown {
 	double _estimated = 1.0;
 	instant _estimated_at{};
 	double _reported = 1.0;
@@ -35,18 +35,18 @@
 	void tell(double p_factor, instant p_now);
 
 	/** Returns the reported factor, decayed towards 1. */
-	double get_told(instant p_now) const;
+	double get_reported(instant p_now) const;
 
-	/** Updates the estimate from a completed call. @param p_sample its time divided by the expected time. @param p_reported_before get_told() when the call began. */
+	/** Updates the estimate from a completed call. @param p_sample its time divided by the expected time. @param p_reported_before get_reported() when the call began. */
 	void learn(double p_sample, double p_reported_before, instant p_now);
 
 	/** Raises the estimate while a call takes far longer than expected. @param p_min_factor elapsed time divided by the expected time. */
 	void note_overrun(double p_min_factor, instant p_now);
 
 	/** Returns the current factor: expected time of a call divided by the typical time. */
-	double get(instant p_now) const { return _get_estimated(p_now) * get_told(p_now); }
+	double get(instant p_now) const { return _get_estimated(p_now) * get_reported(p_now); }
 };
 
 } // namespace calicoscale
 
-#endif // REPLICA_PACE_H
+#endif // REPLICA_SLOWDOWN_H
--- a/servers/load/write_budget.cpp
+++ b/servers/load/write_budget.cpp
@@ -21,7 +21,7 @@
 
 std::size_t write_budget::get_share() const {
 	const std::size_t free_bytes = _max_bytes - std::min(_max_bytes, _buffered_bytes);
-	return std::clamp(free_bytes / FREE_CAPACITY_PARTS, LEAST_SHARE, LARGEST_SHARE);
+	return std::clamp(free_bytes / FREE_CAPACITY_PARTS, MIN_SHARE, MAX_SHARE);
 }
 
 } // namespace calicoscale
--- a/servers/membership/fleet_overlay.cpp
+++ b/servers/membership/fleet_overlay.cpp
@@ -48,7 +48,7 @@
 	std::vector<std::string> retried; ///< Nodes that were not responsive for longer.
 };
 
-std::vector<overlay_node> keep_larger(std::vector<overlay_node> p_nodes) {
+std::vector<overlay_node> select_large_nodes(std::vector<overlay_node> p_nodes) {
 	double max_cores = 0.0;
 	for (const overlay_node &node : p_nodes) {
 		max_cores = std::max(max_cores, node.cores);
--- a/servers/membership/fleet_overlay.h
+++ b/servers/membership/fleet_overlay.h
@@ -68,7 +68,7 @@
 };
 
 /** Returns the nodes that are large enough to work for others: those with at least 0.6 times the cores of the largest node. */
-std::vector<overlay_node> keep_larger(std::vector<overlay_node> p_nodes);
+std::vector<overlay_node> select_large_nodes(std::vector<overlay_node> p_nodes);
 
 } // namespace calicoscale
 
--- a/servers/membership/hub_sums.h
+++ b/servers/membership/hub_aggregate.h
@@ -1,13 +1,13 @@
 /*
- * calicoscale: hub_sums.h
+ * calicoscale: hub_aggregate.h
  * Sums of per-node values over the fleet, aggregated by hubs.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#ifndef HUB_SUMS_H
-#define HUB_SUMS_H
+#ifndef HUB_AGGREGATE_H
+#define HUB_AGGREGATE_H
 
 #include <functional>
 #include <map>
@@ -21,7 +21,7 @@
  * and the sum over the fleet to its followers. The value of a failed node is removed as soon as its failure is known.
  */
 template <typename VALUE>
-class hub_sums {
+class hub_aggregate {
 	using add_hook = std::function<void(VALUE &, const VALUE &)>;
 
 	add_hook _add;
@@ -31,29 +31,29 @@
 	std::optional<VALUE> _total; ///< As reported by the hub that this node follows; empty on a hub.
 
 public:
-	explicit hub_sums(add_hook p_add) :
+	explicit hub_aggregate(add_hook p_add) :
 			_add(std::move(p_add)) {}
 
 	/** Sets the value of this node. */
 	void set_own(VALUE p_own) { _own = std::move(p_own); }
 
 	/** Sets the value that a follower of this node reported. */
-	void take_follower(const std::string &p_node, VALUE p_value) {
+	void set_follower(const std::string &p_node, VALUE p_value) {
 		_peers.erase(p_node);
 		_followers[p_node] = std::move(p_value);
 	}
 
 	/** Sets the sum that another hub reported. */
-	void take_peer(const std::string &p_node, VALUE p_value) {
+	void set_peer(const std::string &p_node, VALUE p_value) {
 		_followers.erase(p_node);
 		_peers[p_node] = std::move(p_value);
 	}
 
 	/** Sets the sum over the fleet that the hub of this node reported. */
-	void take_total(VALUE p_value) { _total = std::move(p_value); }
+	void set_total(VALUE p_value) { _total = std::move(p_value); }
 
 	/** Clears the reported sum, so that get_total() adds up the values known here; for a node that becomes a hub. */
-	void forget_total() { _total.reset(); }
+	void clear_total() { _total.reset(); }
 
 	/** Removes the value of a node that failed or reports to another hub. */
 	void forget(const std::string &p_node) {
@@ -87,4 +87,4 @@
 
 } // namespace calicoscale
 
-#endif // HUB_SUMS_H
+#endif // HUB_AGGREGATE_H
--- a/servers/membership/list_budget.cpp
+++ b/servers/membership/list_budget.cpp
@@ -41,7 +41,7 @@
 	return true;
 }
 
-bool list_budget::try_tell(const std::string &p_peer, std::uint64_t p_incarnation, std::size_t p_bytes, instant p_now) {
+bool list_budget::try_send(const std::string &p_peer, std::uint64_t p_incarnation, std::size_t p_bytes, instant p_now) {
 	const auto known = _sent.find(p_peer);
 	const bool was_sent = known != _sent.end() && known->second.incarnation == p_incarnation;
 	if (was_sent && p_now - known->second.at < known->second.pause) {
--- a/servers/membership/list_budget.h
+++ b/servers/membership/list_budget.h
@@ -47,7 +47,7 @@
 	 * Whether to send the list to a peer that did not request it; if so, it is recorded as sent and its bytes are deducted.
 	 * @param p_incarnation incarnation of the peer; after its restart the list is sent again without a pause. @param p_bytes size of the list.
 	 */
-	bool try_tell(const std::string &p_peer, std::uint64_t p_incarnation, std::size_t p_bytes, instant p_now);
+	bool try_send(const std::string &p_peer, std::uint64_t p_incarnation, std::size_t p_bytes, instant p_now);
 };
 
 } // namespace calicoscale
--- a/servers/membership/list_guard.h
+++ b/servers/membership/list_guard.h
@@ -33,7 +33,7 @@
 	std::vector<endpoint_listing> take(const std::vector<endpoint_listing> &p_list, instant p_now);
 
 	/** Whether the last list was not accepted as it is. */
-	bool is_doubting() const { return _is_rejecting; }
+	bool is_list_deferred() const { return _is_rejecting; }
 };
 
 } // namespace calicoscale
--- a/servers/membership/list_request.cpp
+++ b/servers/membership/list_request.cpp
@@ -28,14 +28,14 @@
 		_answer_timeout(FIRST_ANSWER_TIMEOUT) {
 }
 
-bool list_request::_is_better(const list_teller &p_left, const list_teller &p_right) const {
+bool list_request::_is_better(const list_source &p_left, const list_source &p_right) const {
 	if (p_left.is_same_zone != p_right.is_same_zone) {
 		return p_left.is_same_zone;
 	}
 	return p_left.cores * MAX_SHARE_OF_LARGER >= p_right.cores;
 }
 
-std::string list_request::choose(const std::vector<list_teller> &p_sources, double p_chance, instant p_now) {
+std::string list_request::choose(const std::vector<list_source> &p_sources, double p_chance, instant p_now) {
 	if (!_requested_from.empty() && p_now - _requested_at < _answer_timeout) {
 		return "";
 	}
@@ -44,8 +44,8 @@
 		_requested_from.clear();
 		_answer_timeout = std::min(_answer_timeout * 2, MAX_ANSWER_TIMEOUT);
 	}
-	std::vector<list_teller> best;
-	for (const list_teller &source : p_sources) {
+	std::vector<list_source> best;
+	for (const list_source &source : p_sources) {
 		const auto wait = _not_before.find(source.vm);
 		if (wait != _not_before.end() && p_now < wait->second) {
 			continue;
--- a/servers/membership/list_request.h
+++ b/servers/membership/list_request.h
@@ -18,7 +18,7 @@
 namespace calicoscale {
 
 /** A linked node that accepts requests and therefore knows the endpoints. */
-struct list_teller {
+struct list_source {
 	std::string vm;
 	bool is_same_zone = false; ///< In the availability zone of the requesting node.
 	double cores = 1.0;
@@ -35,7 +35,7 @@
 	duration _answer_timeout; ///< Time after which the list is requested from another node; doubles with each node that doesn't answer.
 	std::map<std::string, instant> _not_before; ///< Earliest time of the next request to a node that declined or didn't answer.
 
-	bool _is_better(const list_teller &p_left, const list_teller &p_right) const;
+	bool _is_better(const list_source &p_left, const list_source &p_right) const;
 
 public:
 	list_request();
@@ -45,7 +45,7 @@
 	 * @param p_sources possible sources. @param p_chance random number from 0 to 1, which spreads the requests of nodes that start together.
 	 * @return the node, whose answer is awaited from now on; empty when an answer is awaited already, or no source is available.
 	 */
-	std::string choose(const std::vector<list_teller> &p_sources, double p_chance, instant p_now);
+	std::string choose(const std::vector<list_source> &p_sources, double p_chance, instant p_now);
 
 	/** A node declined to send the list for now. */
 	void on_declined(const std::string &p_vm, instant p_now);
--- a/servers/membership/member_table.cpp
+++ b/servers/membership/member_table.cpp
@@ -94,7 +94,7 @@
 	return digests;
 }
 
-void member_table::take_digests(const std::vector<member_digest> &p_digests, instant p_now) {
+void member_table::merge_digests(const std::vector<member_digest> &p_digests, instant p_now) {
 	for (const member_digest &digest : p_digests) {
 		if (digest.vm == _self.vm) {
 			// After the wall clock stepped back, an earlier incarnation of this VM would count as the newer one.
@@ -119,12 +119,12 @@
 		const bool leaving = digest.leaving || (is_same_incarnation && known.digest.leaving);
 		known.digest = digest;
 		known.digest.leaving = leaving;
-		known.heard_at = p_now;
+		known.last_contact_at = p_now;
 		_set_state(known, leaving ? member_state::LEAVING : member_state::ALIVE);
 	}
 }
 
-void member_table::take_listings(const std::vector<entry_listing> &p_listings, instant p_now) {
+void member_table::apply_listings(const std::vector<entry_listing> &p_listings, instant p_now) {
 	if (p_listings.empty()) {
 		return;
 	}
@@ -144,7 +144,7 @@
 			known.digest.zone = listing.zone;
 			known.digest.link = listing.link;
 			known.state = member_state::SUSPECT;
-			known.heard_at = p_now;
+			known.last_contact_at = p_now;
 		}
 		if (listing.leaving && listing.incarnation >= known.digest.incarnation) {
 			known.digest.leaving = true;
@@ -166,7 +166,7 @@
 void member_table::tick(instant p_now) {
 	const duration suspect_after = get_suspect_after();
 	for (auto &[vm, entry] : _members) {
-		const duration silence = p_now - entry.heard_at;
+		const duration silence = p_now - entry.last_contact_at;
 		if (silence >= suspect_after * GONE_AFTER_FACTOR) {
 			_set_state(entry, member_state::GONE);
 		} else if (silence >= suspect_after && entry.state == member_state::ALIVE) {
@@ -175,7 +175,7 @@
 	}
 	// A listed member is kept even when it is silent: links to it are still attempted, so that no operator is needed after a partition.
 	std::erase_if(_members, [p_now, suspect_after](const auto &p_entry) {
-		return !p_entry.second.listed && p_now - p_entry.second.heard_at >= suspect_after * ERASED_AFTER_FACTOR;
+		return !p_entry.second.listed && p_now - p_entry.second.last_contact_at >= suspect_after * ERASED_AFTER_FACTOR;
 	});
 }
 
@@ -217,7 +217,7 @@
 		if (entry.state == member_state::GONE || entry.state == member_state::LEAVING) {
 			continue;
 		}
-		const bool is_valid = entry.state == member_state::ALIVE && p_now - entry.heard_at < grant;
+		const bool is_valid = entry.state == member_state::ALIVE && p_now - entry.last_contact_at < grant;
 		members.push_back(share_member{ vm, entry.digest.zone, is_valid, entry.digest.demand });
 	}
 	return members;
--- a/servers/membership/member_table.h
+++ b/servers/membership/member_table.h
@@ -62,7 +62,7 @@
 struct member {
 	member_digest digest;
 	member_state state = member_state::ALIVE;
-	instant heard_at{}; ///< When a newer heartbeat was last received.
+	instant last_contact_at{}; ///< When a newer heartbeat was last received.
 	bool listed = false; ///< Whether it is on the platform's list.
 };
 
@@ -102,10 +102,10 @@
 	std::vector<member_digest> make_own_heartbeat();
 
 	/** Merges digests received from a peer. */
-	void take_digests(const std::vector<member_digest> &p_digests, instant p_now);
+	void merge_digests(const std::vector<member_digest> &p_digests, instant p_now);
 
 	/** Applies the platform's list of entry nodes. An empty list changes nothing. */
-	void take_listings(const std::vector<entry_listing> &p_listings, instant p_now);
+	void apply_listings(const std::vector<entry_listing> &p_listings, instant p_now);
 
 	/** Updates the states of members that are silent, and erases unlisted ones after a long time. */
 	void tick(instant p_now);
--- a/servers/membership/peer_contacts.cpp
+++ b/servers/membership/peer_contacts.cpp
@@ -43,30 +43,30 @@
 	return p_contact.next_in * MAX_MISSED_HEARTBEATS + HEARTBEAT_DELAY;
 }
 
-void peer_contacts::on_heard(const std::string &p_peer, duration p_next_in, instant p_now) {
+void peer_contacts::on_contact(const std::string &p_peer, duration p_next_in, instant p_now) {
 	contact &entry = _contacts[p_peer];
-	entry.heard_at = p_now;
+	entry.last_contact_at = p_now;
 	// A node of an older version, which reports no interval, sends at the short one. The value is bounded, as it determines when the peer counts as failed.
 	entry.next_in = std::clamp(p_next_in, HEARTBEAT_INTERVAL, SLOW_HEARTBEAT_INTERVAL);
 }
 
-bool peer_contacts::is_heard(const std::string &p_peer, instant p_now) const {
+bool peer_contacts::is_responsive(const std::string &p_peer, instant p_now) const {
 	const auto found = _contacts.find(p_peer);
-	return found != _contacts.end() && found->second.heard_at != instant{} && p_now - found->second.heard_at < _get_silence(found->second);
+	return found != _contacts.end() && found->second.last_contact_at != instant{} && p_now - found->second.last_contact_at < _get_silence(found->second);
 }
 
-void peer_contacts::forgive(duration p_stall) {
+void peer_contacts::extend_deadlines(duration p_stall) {
 	for (auto &[peer, entry] : _contacts) {
-		for (instant *last_time : { &entry.heard_at, &entry.link_needed_at, &entry.followed_at }) {
+		for (instant *last_time : { &entry.last_contact_at, &entry.link_needed_at, &entry.followed_at }) {
 			*last_time += *last_time == instant{} ? duration::zero() : p_stall;
 		}
 	}
 }
 
-std::vector<std::string> peer_contacts::get_dead(instant p_now) const {
+std::vector<std::string> peer_contacts::get_silent_peers(instant p_now) const {
 	std::vector<std::string> dead;
 	for (const auto &[peer, entry] : _contacts) {
-		if (entry.heard_at != instant{} && p_now - entry.heard_at > _get_silence(entry) + SILENT_LINK_TIME) {
+		if (entry.last_contact_at != instant{} && p_now - entry.last_contact_at > _get_silence(entry) + SILENT_LINK_TIME) {
 			dead.push_back(peer);
 		}
 	}
@@ -83,7 +83,7 @@
 	return found == _contacts.end() ? nullptr : &found->second;
 }
 
-void peer_contacts::on_needs(const std::string &p_peer, bool p_needs_link, bool p_follows, instant p_now) {
+void peer_contacts::on_needs_reported(const std::string &p_peer, bool p_needs_link, bool p_follows, instant p_now) {
 	contact &entry = _contacts[p_peer];
 	entry.link_needed_at = p_needs_link ? p_now : instant{};
 	entry.followed_at = p_follows ? p_now : instant{};
@@ -120,15 +120,15 @@
 	return has_updates || p_now - entry->sent_at > SLOW_HEARTBEAT_INTERVAL - HEARTBEAT_INTERVAL / 2;
 }
 
-std::vector<endpoint_news> peer_contacts::on_sent(const std::string &p_peer, bool p_at_short_interval, bool p_receives_updates, instant p_now) {
+std::vector<endpoint_update> peer_contacts::on_sent(const std::string &p_peer, bool p_at_short_interval, bool p_receives_updates, instant p_now) {
 	contact &entry = _contacts[p_peer];
 	entry.sent_at = p_now;
 	entry.announced_short_interval = p_at_short_interval;
-	std::vector<endpoint_news> sent;
+	std::vector<endpoint_update> sent;
 	if (!p_receives_updates) {
 		return sent;
 	}
-	for (const numbered_news &item : _updates) {
+	for (const numbered_update &item : _updates) {
 		if (item.number > entry.sent_update_number) {
 			entry.sent_update_number = item.number;
 			sent.push_back(item.update);
@@ -137,16 +137,16 @@
 	return sent;
 }
 
-void peer_contacts::add_news(endpoint_news p_update, instant p_now) {
+void peer_contacts::add_update(endpoint_update p_update, instant p_now) {
 	const instant expires_at = p_now + (p_update.is_gone ? REMOVAL_UPDATE_LIFETIME : LEAVING_UPDATE_LIFETIME);
-	_updates.push_back(numbered_news{ _next_update_number++, std::move(p_update), expires_at });
+	_updates.push_back(numbered_update{ _next_update_number++, std::move(p_update), expires_at });
 	while (_updates.size() > MAX_UPDATES) {
 		_updates.pop_front();
 	}
 }
 
-void peer_contacts::forget_news(const std::function<bool(const endpoint_news &)> &p_is_obsolete, instant p_now) {
-	std::erase_if(_updates, [&p_is_obsolete, p_now](const numbered_news &p_item) { return p_item.expires_at < p_now || p_is_obsolete(p_item.update); });
+void peer_contacts::expire_updates(const std::function<bool(const endpoint_update &)> &p_is_obsolete, instant p_now) {
+	std::erase_if(_updates, [&p_is_obsolete, p_now](const numbered_update &p_item) { return p_item.expires_at < p_now || p_is_obsolete(p_item.update); });
 }
 
 } // namespace calicoscale
--- a/servers/membership/peer_contacts.h
+++ b/servers/membership/peer_contacts.h
@@ -22,7 +22,7 @@
 namespace calicoscale {
 
 /** Update about an endpoint that leaves or whose entry was removed. */
-struct endpoint_news {
+struct endpoint_update {
 	endpoint_identity endpoint;
 	bool is_gone = false; ///< True: its entry was removed; false: it leaves.
 };
@@ -34,7 +34,7 @@
  */
 class peer_contacts {
 	struct contact {
-		instant heard_at{};
+		instant last_contact_at{};
 		duration next_in = duration::zero(); ///< Interval of its heartbeats to this node, as it reported.
 		instant sent_at{};
 		bool announced_short_interval = false; ///< The last heartbeat to it announced the short interval.
@@ -43,14 +43,14 @@
 		std::uint64_t sent_update_number = 0; ///< Number of the last update sent to it.
 	};
 
-	struct numbered_news {
+	struct numbered_update {
 		std::uint64_t number = 0;
-		endpoint_news update;
+		endpoint_update update;
 		instant expires_at{};
 	};
 
 	std::map<std::string, contact> _contacts;
-	std::deque<numbered_news> _updates;
+	std::deque<numbered_update> _updates;
 	std::uint64_t _next_update_number = 1;
 
 	static duration _get_silence(const contact &p_contact);
@@ -61,22 +61,22 @@
 	static duration get_interval(bool p_at_short_interval);
 
 	/** A heartbeat was received. @param p_next_in time until the next one as reported by the peer; zero when it reported none. */
-	void on_heard(const std::string &p_peer, duration p_next_in, instant p_now);
+	void on_contact(const std::string &p_peer, duration p_next_in, instant p_now);
 
 	/** Whether a peer is responsive: its last heartbeat is recent, given its interval. */
-	bool is_heard(const std::string &p_peer, instant p_now) const;
+	bool is_responsive(const std::string &p_peer, instant p_now) const;
 
 	/** Extends all deadlines by a stall of this process, in which it couldn't receive heartbeats of its peers. */
-	void forgive(duration p_stall);
+	void extend_deadlines(duration p_stall);
 
 	/** Returns the peers that have been silent for so long that their links are to be closed. */
-	std::vector<std::string> get_dead(instant p_now) const;
+	std::vector<std::string> get_silent_peers(instant p_now) const;
 
 	/** A link to a peer was established. The peer may have missed all updates, so all are sent again. */
 	void on_linked(const std::string &p_peer);
 
 	/** A heartbeat reported whether the peer needs this link, and whether it follows this node to know the fleet. */
-	void on_needs(const std::string &p_peer, bool p_needs_link, bool p_follows, instant p_now);
+	void on_needs_reported(const std::string &p_peer, bool p_needs_link, bool p_follows, instant p_now);
 
 	/** Whether a peer recently reported that it needs the link to this node. */
 	bool is_wanted(const std::string &p_peer, instant p_now) const;
@@ -95,13 +95,13 @@
 	bool is_due(const std::string &p_peer, bool p_at_short_interval, bool p_receives_updates, instant p_now) const;
 
 	/** Records that a heartbeat is sent now. @return the updates to include in it. */
-	std::vector<endpoint_news> on_sent(const std::string &p_peer, bool p_at_short_interval, bool p_receives_updates, instant p_now);
+	std::vector<endpoint_update> on_sent(const std::string &p_peer, bool p_at_short_interval, bool p_receives_updates, instant p_now);
 
 	/** Adds an update to be sent to all peers. */
-	void add_news(endpoint_news p_update, instant p_now);
+	void add_update(endpoint_update p_update, instant p_now);
 
 	/** Removes updates that have expired or are no longer true. */
-	void forget_news(const std::function<bool(const endpoint_news &)> &p_is_obsolete, instant p_now);
+	void expire_updates(const std::function<bool(const endpoint_update &)> &p_is_obsolete, instant p_now);
 };
 
 } // namespace calicoscale
--- a/servers/membership/peer_loss.h
+++ b/servers/membership/peer_loss.h
@@ -18,7 +18,7 @@
 enum class peer_loss {
 	LINK_BROKEN,
 	SILENT,
-	TOLD_BY_HUB,
+	REPORTED_BY_HUB,
 	COUNT,
 };
 
--- a/servers/membership/reading_order.cpp
+++ b/servers/membership/read_rank.cpp
@@ -1,12 +1,12 @@
 /*
- * calicoscale: reading_order.cpp
+ * calicoscale: read_rank.cpp
  * Order in which the nodes of a zone read the store while no peer can send them the list.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#include "servers/membership/reading_order.h"
+#include "servers/membership/read_rank.h"
 
 #include "core/digest.h"
 
@@ -15,9 +15,9 @@
 
 namespace calicoscale {
 
-std::size_t find_reading_place(const std::string &p_vm, const std::vector<overlay_node> &p_zone_nodes) {
+std::size_t find_read_rank(const std::string &p_vm, const std::vector<overlay_node> &p_zone_nodes) {
 	std::set<std::string> larger;
-	for (const overlay_node &node : keep_larger(p_zone_nodes)) {
+	for (const overlay_node &node : select_large_nodes(p_zone_nodes)) {
 		larger.insert(node.vm);
 	}
 	const auto get_key = [&larger](const std::string &p_node) { return std::pair(larger.contains(p_node), hash_bytes(p_node)); };
--- a/servers/membership/reading_order.h
+++ b/servers/membership/read_rank.h
@@ -1,13 +1,13 @@
 /*
- * calicoscale: reading_order.h
+ * calicoscale: read_rank.h
  * Order in which the nodes of a zone read the store while no peer can send them the list.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#ifndef READING_ORDER_H
-#define READING_ORDER_H
+#ifndef READ_RANK_H
+#define READ_RANK_H
 
 #include "servers/membership/fleet_overlay.h"
 
@@ -22,8 +22,8 @@
  * ordered by a hash, so that all nodes with the same view agree. Each position waits longer than the one before. Thus few nodes read
  * a long list from the store at once, however large the fleet is, and those that have read it send it to the others.
  */
-std::size_t find_reading_place(const std::string &p_vm, const std::vector<overlay_node> &p_zone_nodes);
+std::size_t find_read_rank(const std::string &p_vm, const std::vector<overlay_node> &p_zone_nodes);
 
 } // namespace calicoscale
 
-#endif // READING_ORDER_H
+#endif // READ_RANK_H
--- a/servers/membership/told_fleet.cpp
+++ b/servers/membership/reported_fleet.cpp
@@ -1,12 +1,12 @@
 /*
- * calicoscale: told_fleet.cpp
+ * calicoscale: reported_fleet.cpp
  * State of the fleet as reported by a hub to a node that is no hub.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#include "servers/membership/told_fleet.h"
+#include "servers/membership/reported_fleet.h"
 
 #include <algorithm>
 
@@ -19,7 +19,7 @@
 
 } // namespace
 
-std::vector<std::string> told_fleet::take(std::vector<std::string> p_dispatchers, std::size_t p_node_count) {
+std::vector<std::string> reported_fleet::take(std::vector<std::string> p_dispatchers, std::size_t p_node_count) {
 	_node_count = p_node_count;
 	std::sort(p_dispatchers.begin(), p_dispatchers.end());
 	std::vector<std::string> removed;
@@ -31,12 +31,12 @@
 	return removed;
 }
 
-void told_fleet::on_heard(const std::string &p_vm) {
+void reported_fleet::on_contact(const std::string &p_vm) {
 	_failed.erase(p_vm);
 	_down_at.erase(p_vm);
 }
 
-bool told_fleet::is_down(const std::string &p_vm, instant p_now) const {
+bool reported_fleet::is_down(const std::string &p_vm, instant p_now) const {
 	const auto down = _down_at.find(p_vm);
 	return down != _down_at.end() && p_now - down->second < LINK_DOWN_MEMORY;
 }
--- a/servers/membership/told_fleet.h
+++ b/servers/membership/reported_fleet.h
@@ -1,13 +1,13 @@
 /*
- * calicoscale: told_fleet.h
+ * calicoscale: reported_fleet.h
  * State of the fleet as reported by a hub to a node that is no hub.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#ifndef TOLD_FLEET_H
-#define TOLD_FLEET_H
+#ifndef REPORTED_FLEET_H
+#define REPORTED_FLEET_H
 
 #include "core/time.h"
 
@@ -23,7 +23,7 @@
  * The dispatchers and the number of running nodes as a hub last reported them, corrected by the state of this node's own links: a hub
  * notices a failure within a second, while a broken link shows it at once. The caller passes the current time.
  */
-class told_fleet {
+class reported_fleet {
 	std::vector<std::string> _dispatchers; ///< Sorted by name.
 	std::size_t _node_count = 0;
 	std::set<std::string> _failed; ///< Failed dispatchers: a hub reports them no longer, and this node had no contact since.
@@ -34,7 +34,7 @@
 	std::vector<std::string> take(std::vector<std::string> p_dispatchers, std::size_t p_node_count);
 
 	/** A heartbeat of a node was received, or its link was established. */
-	void on_heard(const std::string &p_vm);
+	void on_contact(const std::string &p_vm);
 
 	/** The link to a node broke. */
 	void on_link_down(const std::string &p_vm, instant p_now) { _down_at[p_vm] = p_now; }
@@ -53,4 +53,4 @@
 
 } // namespace calicoscale
 
-#endif // TOLD_FLEET_H
+#endif // REPORTED_FLEET_H
--- a/servers/membership/store_cover.cpp
+++ b/servers/membership/store_coverage.cpp
@@ -1,12 +1,12 @@
 /*
- * calicoscale: store_cover.cpp
+ * calicoscale: store_coverage.cpp
  * Selects the node of a zone that reads the store for others, and decides whether this node may rely on others to read it.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#include "servers/membership/store_cover.h"
+#include "servers/membership/store_coverage.h"
 
 #include "core/digest.h"
 
@@ -36,14 +36,14 @@
 	return best;
 }
 
-bool store_cover::on_heartbeat(const std::string &p_peer, bool p_follows, duration p_next_in, std::uint64_t p_version) {
+bool store_coverage::on_heartbeat(const std::string &p_peer, bool p_follows, duration p_next_in, std::uint64_t p_version) {
 	peer_state &entry = _peers[p_peer];
 	const bool has_stopped = entry.follows && !p_follows;
 	entry = peer_state{ p_follows, p_next_in, p_version };
 	return has_stopped;
 }
 
-bool store_cover::is_covered(std::uint64_t p_version, const std::function<bool(const std::string &)> &p_is_responsive, instant p_now) {
+bool store_coverage::is_covered(std::uint64_t p_version, const std::function<bool(const std::string &)> &p_is_responsive, instant p_now) {
 	bool is_followed = false;
 	bool is_behind = false;
 	for (const auto &[peer, entry] : _peers) {
--- a/servers/membership/store_cover.h
+++ b/servers/membership/store_coverage.h
@@ -1,13 +1,13 @@
 /*
- * calicoscale: store_cover.h
+ * calicoscale: store_coverage.h
  * Selects the node of a zone that reads the store for others, and decides whether this node may rely on others to read it.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#ifndef STORE_COVER_H
-#define STORE_COVER_H
+#ifndef STORE_COVERAGE_H
+#define STORE_COVERAGE_H
 
 #include "core/time.h"
 
@@ -30,7 +30,7 @@
  * Decides whether this node may leave it to peers to read the configuration from the store. A peer that follows the configuration in
  * the store reports so in each heartbeat, and ceases to when the store doesn't answer it in time.
  */
-class store_cover {
+class store_coverage {
 	struct peer_state {
 		bool follows = false;
 		duration next_in = duration::zero(); ///< Interval of its heartbeats; zero when it reports none.
@@ -55,4 +55,4 @@
 
 } // namespace calicoscale
 
-#endif // STORE_COVER_H
+#endif // STORE_COVERAGE_H
--- a/servers/once/claim_book.cpp
+++ b/servers/once/claim_registry.cpp
@@ -1,12 +1,12 @@
 /*
- * calicoscale: claim_book.cpp
+ * calicoscale: claim_registry.cpp
  * Claims of callers' idempotency keys on the log; the claim at the lowest offset wins.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#include "servers/once/claim_book.h"
+#include "servers/once/claim_registry.h"
 
 #include "core/digest.h"
 
@@ -37,15 +37,15 @@
 
 } // namespace
 
-claim_book::claim_book(std::string p_vm, std::uint64_t p_incarnation, duration p_key_age, std::size_t p_capacity) :
+claim_registry::claim_registry(std::string p_vm, std::uint64_t p_incarnation, duration p_key_age, std::size_t p_capacity) :
 		_vm(std::move(p_vm)), _incarnation(p_incarnation), _key_age(p_key_age), _capacity(p_capacity) {
 }
 
-std::string claim_book::_make_key_id(const std::string &p_customer, const std::string &p_key_hash) {
+std::string claim_registry::_make_key_id(const std::string &p_customer, const std::string &p_key_hash) {
 	return p_customer + "\n" + p_key_hash;
 }
 
-once_answer claim_book::submit(const std::string &p_customer, const std::string &p_key, unix_milliseconds p_wall, std::uint64_t &r_claim) {
+once_answer claim_registry::submit(const std::string &p_customer, const std::string &p_key, unix_milliseconds p_wall, std::uint64_t &r_claim) {
 	const std::optional<claimed_key> parsed = parse_claimed_key(p_key);
 	if (!parsed) {
 		return refuse(reason::KEY_MALFORMED);
@@ -109,7 +109,7 @@
 	return answer;
 }
 
-std::optional<claim_batch> claim_book::take_batch() {
+std::optional<claim_batch> claim_registry::take_batch() {
 	claim_batch batch;
 	batch.vm = _vm;
 	batch.incarnation = _incarnation;
@@ -128,7 +128,7 @@
 	return batch;
 }
 
-std::vector<settled_claim> claim_book::on_append_ended(const claim_batch &p_batch, append_result p_result) {
+std::vector<settled_claim> claim_registry::on_append_ended(const claim_batch &p_batch, append_result p_result) {
 	std::vector<settled_claim> settled;
 	if (p_result != append_result::NOT_DONE) {
 		return settled;
@@ -145,7 +145,7 @@
 	return settled;
 }
 
-void claim_book::_apply_claim(const claim_batch &p_batch, const claim_entry &p_entry, std::vector<settled_claim> &r_settled) {
+void claim_registry::_apply_claim(const claim_batch &p_batch, const claim_entry &p_entry, std::vector<settled_claim> &r_settled) {
 	const std::string key_id = _make_key_id(p_entry.customer, p_entry.key_hash);
 	const auto [winner, is_first] = _known.try_emplace(key_id, known_claim{ p_batch.vm, p_batch.incarnation, p_entry.claim, p_entry.made_at, false, {} });
 	const auto claiming = _claiming.find(key_id);
@@ -173,7 +173,7 @@
 	r_settled.push_back(result);
 }
 
-void claim_book::_refuse_claiming(std::vector<settled_claim> &r_settled) {
+void claim_registry::_refuse_claiming(std::vector<settled_claim> &r_settled) {
 	for (const auto &[key_id, claim] : _claiming) {
 		r_settled.push_back(settled_claim{ claim, refuse(reason::CLAIM_UNAVAILABLE, verdict::MAY_HAVE_RUN) });
 		_own.erase(claim);
@@ -181,7 +181,7 @@
 	_claiming.clear();
 }
 
-std::vector<settled_claim> claim_book::take_read(std::uint64_t p_earliest, const std::vector<std::optional<claim_batch>> &p_batches, std::uint64_t p_next, bool p_at_end, unix_milliseconds p_wall) {
+std::vector<settled_claim> claim_registry::take_read(std::uint64_t p_earliest, const std::vector<std::optional<claim_batch>> &p_batches, std::uint64_t p_next, bool p_at_end, unix_milliseconds p_wall) {
 	std::vector<settled_claim> settled;
 	if (p_earliest > _position) {
 		// The log removed records before this node read them. Keys that may have been claimed in them are refused until
@@ -203,7 +203,7 @@
 	return settled;
 }
 
-void claim_book::give_up(std::uint64_t p_claim) {
+void claim_registry::give_up(std::uint64_t p_claim) {
 	const auto own = _own.find(p_claim);
 	if (own == _own.end()) {
 		return;
@@ -212,7 +212,7 @@
 	_own.erase(own);
 }
 
-void claim_book::on_done(std::uint64_t p_claim, bool p_may_have_run, kept_outcome p_outcome) {
+void claim_registry::on_done(std::uint64_t p_claim, bool p_may_have_run, kept_outcome p_outcome) {
 	const auto own = _own.find(p_claim);
 	if (own == _own.end()) {
 		return;
@@ -225,7 +225,7 @@
 	_own.erase(own);
 }
 
-void claim_book::expire(unix_milliseconds p_wall) {
+void claim_registry::expire(unix_milliseconds p_wall) {
 	// Twice the maximum age, so that a key that a caller's clock dated into the future still finds its first claim.
 	const unix_milliseconds oldest = p_wall - 2 * to_unix(_key_age);
 	std::erase_if(_known, [oldest](const auto &p_entry) { return p_entry.second.made_at < oldest; });
--- a/servers/once/claim_book.h
+++ b/servers/once/claim_registry.h
@@ -1,13 +1,13 @@
 /*
- * calicoscale: claim_book.h
+ * calicoscale: claim_registry.h
  * Claims of callers' idempotency keys on the log; the claim at the lowest offset wins.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#ifndef CLAIM_BOOK_H
-#define CLAIM_BOOK_H
+#ifndef CLAIM_REGISTRY_H
+#define CLAIM_REGISTRY_H
 
 #include "core/ids.h"
 #include "servers/configuration/change_publisher.h"
@@ -50,7 +50,7 @@
  * stays open until it is read back or abandoned; an abandoned claim never runs, even if it appears on the log later.
  * A node that has not read the stream back to the maximum age of keys refuses claims.
  */
-class claim_book {
+class claim_registry {
 	enum class state {
 		CLAIMING,
 		RUNNING,
@@ -94,7 +94,7 @@
 
 public:
 	/** @param p_key_age maximum age of a key that is claimed. @param p_capacity maximum number of keys known at once. */
-	claim_book(std::string p_vm, std::uint64_t p_incarnation, duration p_key_age, std::size_t p_capacity);
+	claim_registry(std::string p_vm, std::uint64_t p_incarnation, duration p_key_age, std::size_t p_capacity);
 
 	/**
 	 * Decides on a request that a customer submits under a key. For CLAIM, r_claim is set to the id of the new claim;
@@ -147,4 +147,4 @@
 
 } // namespace calicoscale
 
-#endif // CLAIM_BOOK_H
+#endif // CLAIM_REGISTRY_H
--- a/servers/once/ticket_book.cpp
+++ b/servers/once/ticket_registry.cpp
@@ -1,12 +1,12 @@
 /*
- * calicoscale: ticket_book.cpp
+ * calicoscale: ticket_registry.cpp
  * Tickets that this node issued, and the outcomes of their requests.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#include "servers/once/ticket_book.h"
+#include "servers/once/ticket_registry.h"
 
 #include "core/digest.h"
 #include "core/ids.h"
@@ -26,23 +26,23 @@
 
 } // namespace
 
-ticket_book::ticket_book(std::string p_vm, std::uint64_t p_incarnation, std::string p_secret, std::size_t p_capacity) :
+ticket_registry::ticket_registry(std::string p_vm, std::uint64_t p_incarnation, std::string p_secret, std::size_t p_capacity) :
 		_vm(std::move(p_vm)), _incarnation(p_incarnation), _secret(std::move(p_secret)), _capacity(p_capacity) {
 }
 
-std::string ticket_book::_make_code(const std::string &p_customer, const ticket_key &p_ticket) const {
+std::string ticket_registry::_make_code(const std::string &p_customer, const ticket_key &p_ticket) const {
 	std::string text = p_customer + "\n" + to_hex(p_ticket.incarnation);
 	text += "\n" + std::to_string(p_ticket.sequence) + "\n" + std::to_string(p_ticket.expires_at);
 	return hmac_hex(_secret, text).substr(0, CODE_LENGTH);
 }
 
-std::string ticket_book::issue(const std::string &p_customer, unix_milliseconds p_expires_at) {
+std::string ticket_registry::issue(const std::string &p_customer, unix_milliseconds p_expires_at) {
 	ticket_key ticket{ _vm, _incarnation, _next_sequence++, p_expires_at, "" };
 	ticket.code = _make_code(p_customer, ticket);
 	return to_string(ticket);
 }
 
-once_answer ticket_book::submit(const std::string &p_customer, const ticket_key &p_ticket, unix_milliseconds p_wall) {
+once_answer ticket_registry::submit(const std::string &p_customer, const ticket_key &p_ticket, unix_milliseconds p_wall) {
 	once_answer answer;
 	if (p_ticket.vm != _vm) {
 		answer.step = once_step::PASS_ON;
@@ -75,7 +75,7 @@
 	return answer;
 }
 
-void ticket_book::on_done(const ticket_key &p_ticket, kept_outcome p_outcome) {
+void ticket_registry::on_done(const ticket_key &p_ticket, kept_outcome p_outcome) {
 	const auto found = _used.find(p_ticket.sequence);
 	if (found == _used.end()) {
 		return;
@@ -84,11 +84,11 @@
 	found->second.outcome = std::move(p_outcome);
 }
 
-void ticket_book::on_not_run(const ticket_key &p_ticket) {
+void ticket_registry::on_not_run(const ticket_key &p_ticket) {
 	_used.erase(p_ticket.sequence);
 }
 
-void ticket_book::expire(unix_milliseconds p_wall) {
+void ticket_registry::expire(unix_milliseconds p_wall) {
 	std::erase_if(_used, [p_wall](const auto &p_entry) {
 		return p_entry.second.current == state::DONE && p_wall >= p_entry.second.expires_at;
 	});
--- a/servers/once/ticket_book.h
+++ b/servers/once/ticket_registry.h
@@ -1,13 +1,13 @@
 /*
- * calicoscale: ticket_book.h
+ * calicoscale: ticket_registry.h
  * Tickets that this node issued, and the outcomes of their requests.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#ifndef TICKET_BOOK_H
-#define TICKET_BOOK_H
+#ifndef TICKET_REGISTRY_H
+#define TICKET_REGISTRY_H
 
 #include "servers/once/idempotency_key.h"
 #include "servers/once/once_answer.h"
@@ -22,7 +22,7 @@
  * running it at most once needs neither the log nor another node. A ticket contains the node's incarnation and is
  * authenticated with a secret known only to this incarnation: after a restart no node can run it.
  */
-class ticket_book {
+class ticket_registry {
 	enum class state {
 		RUNNING,
 		DONE,
@@ -46,7 +46,7 @@
 
 public:
 	/** @param p_secret known to this incarnation only. @param p_capacity maximum number of used tickets stored; further ones are refused. */
-	ticket_book(std::string p_vm, std::uint64_t p_incarnation, std::string p_secret, std::size_t p_capacity);
+	ticket_registry(std::string p_vm, std::uint64_t p_incarnation, std::string p_secret, std::size_t p_capacity);
 
 	std::string issue(const std::string &p_customer, unix_milliseconds p_expires_at);
 
@@ -67,4 +67,4 @@
 
 } // namespace calicoscale
 
-#endif // TICKET_BOOK_H
+#endif // TICKET_REGISTRY_H
--- a/servers/request/request_action.h
+++ b/servers/request/request_action.h
@@ -42,22 +42,22 @@
 /** Returns the use with a name; FAILED if unknown. */
 cost_use find_cost_use(std::string_view p_name);
 
-/** Requests a slot from the stage's pool gate; the driver answers with on_place_given or on_place_denied. */
-struct ask_place {
+/** Requests a slot from the stage's pool gate; the driver answers with on_slot_granted or on_slot_denied. */
+struct acquire_slot {
 	std::size_t stage = 0;
 	instant start_by{}; ///< Latest start at which the request can still meet its deadline.
 };
 
 /** Releases the slot. */
-struct return_place {
+struct release_slot {
 	std::size_t stage = 0;
-	place_use use = place_use::FAILED;
+	slot_outcome use = slot_outcome::FAILED;
 	duration held = duration::zero(); ///< Time for which the slot was held.
 	double relative_latency = 1.0; ///< Latency divided by the typical one without queueing.
 };
 
-/** Cancels an ask_place that wasn't answered yet. */
-struct withdraw_place {
+/** Cancels an acquire_slot that wasn't answered yet. */
+struct cancel_slot_request {
 	std::size_t stage = 0;
 };
 
@@ -85,7 +85,7 @@
 };
 
 /** Records the cost of a finished attempt. */
-struct book_cost {
+struct record_cost {
 	std::size_t stage = 0;
 	std::uint32_t attempt = 0;
 	cost_use use = cost_use::USEFUL;
@@ -123,7 +123,7 @@
 	duration retry_after = duration::zero(); ///< Time after which the caller may retry; zero if a retry doesn't help.
 };
 
-using request_action = std::variant<ask_place, return_place, withdraw_place, start_attempt, cancel_attempt, forward_token, book_cost, settle_cost, wake_at, finish_request>;
+using request_action = std::variant<acquire_slot, release_slot, cancel_slot_request, start_attempt, cancel_attempt, forward_token, record_cost, settle_cost, wake_at, finish_request>;
 
 } // namespace calicoscale
 
--- a/servers/request/request_fingerprint.cpp
+++ b/servers/request/request_fingerprint.cpp
@@ -12,7 +12,7 @@
 
 namespace calicoscale {
 
-std::uint64_t hash_place(const request_content &p_content) {
+std::uint64_t hash_target(const request_content &p_content) {
 	std::uint64_t hash = hash_bytes(p_content.method);
 	for (const std::string_view field : { p_content.host, p_content.target, p_content.customer }) {
 		hash = hash_bytes(field, hash + 1);
@@ -25,7 +25,7 @@
 	for (const std::string_view field : { p_content.method, p_content.host, p_content.target, p_content.customer, p_content.body }) {
 		digest.add(field);
 	}
-	return request_fingerprint{ hash_place(p_content), digest.finish() };
+	return request_fingerprint{ hash_target(p_content), digest.finish() };
 }
 
 std::string to_string(const request_fingerprint &p_fingerprint) {
