--- a/servers/request/request_fingerprint.h
+++ b/servers/request/request_fingerprint.h
@@ -38,7 +38,7 @@
 };
 
 /** Returns the hash of everything but the body. */
-std::uint64_t hash_place(const request_content &p_content);
+std::uint64_t hash_target(const request_content &p_content);
 
 /** Computes the fingerprint of the complete content, which takes about 1 ms per megabyte. */
 request_fingerprint make_fingerprint(const request_content &p_content);
--- a/servers/request/request_flow.cpp
+++ b/servers/request/request_flow.cpp
@@ -29,8 +29,8 @@
 constexpr double DEFAULT_TIME_FRACTION = 0.6;
 constexpr duration RETRY_AFTER_SHORT = std::chrono::milliseconds(100);
 
-place_use get_slot_outcome(const outcome &p_result) {
-	return p_result.why == reason::REFUSED_BUSY ? place_use::REFUSED : place_use::FAILED;
+slot_outcome get_slot_outcome(const outcome &p_result) {
+	return p_result.why == reason::REFUSED_BUSY ? slot_outcome::REFUSED : slot_outcome::FAILED;
 }
 
 /** Quotes text as a JSON string; tokens are checked UTF-8 by the driver. */
@@ -62,7 +62,7 @@
 duration request_flow::_estimate_later_stages(instant p_now) const {
 	duration need = duration::zero();
 	for (std::size_t stage = _stage + 1; stage < _plan.stages.size(); stage++) {
-		need += _hooks.estimate(_plan, stage, p_now).usual;
+		need += _hooks.estimate(_plan, stage, p_now).typical;
 	}
 	return need;
 }
@@ -137,12 +137,12 @@
 
 void request_flow::_request_slot(instant p_now, actions &r_actions) {
 	_phase = phase::WAITING;
-	const instant start_by = _plan.deadline - _estimate_later_stages(p_now) - _estimate.usual;
-	r_actions.emplace_back(ask_place{ _stage, std::max(start_by, p_now) });
+	const instant start_by = _plan.deadline - _estimate_later_stages(p_now) - _estimate.typical;
+	r_actions.emplace_back(acquire_slot{ _stage, std::max(start_by, p_now) });
 	r_actions.emplace_back(wake_at{ _plan.deadline });
 }
 
-request_flow::actions request_flow::on_place_given(instant p_now) {
+request_flow::actions request_flow::on_slot_granted(instant p_now) {
 	actions result;
 	if (_phase != phase::WAITING) {
 		return result;
@@ -158,7 +158,7 @@
 	return result;
 }
 
-request_flow::actions request_flow::on_place_denied(reason p_reason, instant p_now) {
+request_flow::actions request_flow::on_slot_denied(reason p_reason, instant p_now) {
 	actions result;
 	if (_phase != phase::WAITING) {
 		return result;
@@ -247,7 +247,7 @@
 		return;
 	}
 	_has_hedged = true;
-	const bool still_fits = p_now + _estimate.usual + _estimate_later_stages(p_now) <= _plan.deadline;
+	const bool still_fits = p_now + _estimate.typical + _estimate_later_stages(p_now) <= _plan.deadline;
 	if (!still_fits || _attempts >= MAX_ATTEMPTS || !_hooks.may_hedge(_current().pool, p_now)) {
 		return;
 	}
@@ -336,7 +336,7 @@
 		relative = static_cast<double>(elapsed.count()) / static_cast<double>(_estimate.unloaded.count());
 	}
 	_holds_slot = false;
-	r_actions.emplace_back(return_place{ _stage, place_use::SUCCEEDED, p_now - _slot_granted_at, relative });
+	r_actions.emplace_back(release_slot{ _stage, slot_outcome::SUCCEEDED, p_now - _slot_granted_at, relative });
 	_reports.push_back(stage_report{ _current().name, _current().pool, p_now - _stage_started, p_end.units, _attempts });
 	if (_is_stream()) {
 		std::string text;
@@ -390,7 +390,7 @@
 		use = cost_use::HEDGED;
 	}
 	if (p_end.cost_known && p_end.units > 0.0) {
-		r_actions.emplace_back(book_cost{ _stage, p_attempt.id.attempt, use, p_end.units });
+		r_actions.emplace_back(record_cost{ _stage, p_attempt.id.attempt, use, p_end.units });
 	}
 	// A stream that will be resumed continues under the id of its first attempt; settling that attempt would stop it.
 	const bool resumes = _resume_endpoint != 0 && !_resume_tried && p_continues;
@@ -420,7 +420,7 @@
 
 bool request_flow::_may_queue_again(const attempt_end &p_end, instant p_now) {
 	// A busy endpoint executed nothing, and its refusal lowers the gate's limit, so queueing again adds no load.
-	const bool still_fits = p_now + _estimate.usual + _estimate_later_stages(p_now) < _plan.deadline;
+	const bool still_fits = p_now + _estimate.typical + _estimate_later_stages(p_now) < _plan.deadline;
 	const bool may_run = _current().repeatable || !_stage_may_have_run;
 	return p_end.result.why == reason::REFUSED_BUSY && may_run && _requeues < MAX_REQUEUES && still_fits;
 }
@@ -430,7 +430,7 @@
 	_attempts_before_requeue = _attempts;
 	_tried.clear();
 	_holds_slot = false;
-	r_actions.emplace_back(return_place{ _stage, place_use::REFUSED, p_now - _slot_granted_at, 1.0 });
+	r_actions.emplace_back(release_slot{ _stage, slot_outcome::REFUSED, p_now - _slot_granted_at, 1.0 });
 	_requests_slot_again = true;
 	_phase = phase::BACKING_OFF;
 	const double factor = std::exp2(static_cast<double>(std::min<std::uint32_t>(_requeues, 4))) * (0.5 + _hooks.draw());
@@ -499,21 +499,21 @@
 	return result;
 }
 
-request_flow::actions request_flow::on_caller_gone(instant p_now) {
+request_flow::actions request_flow::on_caller_disconnected(instant p_now) {
 	actions result;
 	if (_phase == phase::FINISHED) {
 		return result;
 	}
 	if (_phase == phase::NEW) {
-		_finish(outcome{ verdict::NOT_RUN, reason::CALLER_GONE }, p_now, result);
+		_finish(outcome{ verdict::NOT_RUN, reason::CALLER_DISCONNECTED }, p_now, result);
 		return result;
 	}
-	_give_up(reason::CALLER_GONE, p_now, result);
+	_give_up(reason::CALLER_DISCONNECTED, p_now, result);
 	return result;
 }
 
 cost_use request_flow::_get_cost_use(reason p_reason) const {
-	if (p_reason == reason::CALLER_GONE) {
+	if (p_reason == reason::CALLER_DISCONNECTED) {
 		return cost_use::CANCELLED;
 	}
 	return p_reason == reason::DEADLINE_PASSED ? cost_use::LATE : cost_use::FAILED;
@@ -521,7 +521,7 @@
 
 void request_flow::_give_up(reason p_reason, instant p_now, actions &r_actions) {
 	if (_phase == phase::WAITING) {
-		r_actions.emplace_back(withdraw_place{ _stage });
+		r_actions.emplace_back(cancel_slot_request{ _stage });
 	}
 	const cost_use use = _get_cost_use(p_reason);
 	for (const open_attempt &attempt : _open) {
@@ -535,16 +535,16 @@
 void request_flow::_finish(const outcome &p_result, instant p_now, actions &r_actions) {
 	if (_holds_slot) {
 		_holds_slot = false;
-		r_actions.emplace_back(return_place{ _stage, get_slot_outcome(_last_failure), p_now - _slot_granted_at, 1.0 });
+		r_actions.emplace_back(release_slot{ _stage, get_slot_outcome(_last_failure), p_now - _slot_granted_at, 1.0 });
 	}
 	_phase = phase::FINISHED;
 	for (const known_cost &cost : _costs) {
-		r_actions.emplace_back(book_cost{ cost.stage, cost.attempt, _get_cost_use(p_result.why), cost.units });
+		r_actions.emplace_back(record_cost{ cost.stage, cost.attempt, _get_cost_use(p_result.why), cost.units });
 	}
 	finish_request finish;
 	finish.result = p_result;
 	finish.stages = _reports;
-	const bool has_time = p_result.why != reason::DEADLINE_PASSED && p_result.why != reason::CALLER_GONE && p_result.why != reason::REFUSED_INPUT;
+	const bool has_time = p_result.why != reason::DEADLINE_PASSED && p_result.why != reason::CALLER_DISCONNECTED && p_result.why != reason::REFUSED_INPUT;
 	finish.retry_after = has_time ? RETRY_AFTER_SHORT : duration::zero();
 	r_actions.emplace_back(std::move(finish));
 }
@@ -552,7 +552,7 @@
 void request_flow::_finish_completed(actions &r_actions) {
 	_phase = phase::FINISHED;
 	for (const known_cost &cost : _costs) {
-		r_actions.emplace_back(book_cost{ cost.stage, cost.attempt, cost_use::USEFUL, cost.units });
+		r_actions.emplace_back(record_cost{ cost.stage, cost.attempt, cost_use::USEFUL, cost.units });
 	}
 	finish_request finish;
 	finish.result = outcome{ verdict::COMPLETED, reason::NONE };
--- a/servers/request/request_flow.h
+++ b/servers/request/request_flow.h
@@ -23,7 +23,7 @@
 
 /** Estimated times of one stage; zero if unknown. */
 struct stage_estimate {
-	duration usual = duration::zero(); ///< Median.
+	duration typical = duration::zero(); ///< Median.
 	duration unloaded = duration::zero(); ///< Time without queueing.
 	duration slow = duration::zero(); ///< 95th percentile.
 	duration slow_first_token = duration::zero(); ///< 95th percentile to the first token.
@@ -156,10 +156,10 @@
 	actions start(instant p_now);
 
 	/** Handles a granted slot. */
-	actions on_place_given(instant p_now);
+	actions on_slot_granted(instant p_now);
 
 	/** Handles the denial of a requested slot. */
-	actions on_place_denied(reason p_reason, instant p_now);
+	actions on_slot_denied(reason p_reason, instant p_now);
 
 	/** Handles the end of an attempt. The end of an attempt that isn't open is dropped and counted. */
 	actions on_attempt_ended(const attempt_id &p_id, const attempt_end &p_end, instant p_now);
@@ -171,7 +171,7 @@
 	actions on_wake(instant p_now);
 
 	/** Handles a disconnected caller: cancels everything. */
-	actions on_caller_gone(instant p_now);
+	actions on_caller_disconnected(instant p_now);
 
 	bool is_finished() const { return _phase == phase::FINISHED; }
 	const request_plan &get_plan() const { return _plan; }
--- a/servers/rollout/call_share.h
+++ b/servers/rollout/call_share.h
@@ -34,7 +34,7 @@
 	}
 
 	/** Returns whether a call of p_items items to the target stays within p_share of all items. */
-	bool has_place(std::size_t p_items, double p_share) const { return p_share >= 1.0 || _at_target + static_cast<double>(p_items) <= p_share * _all; }
+	bool fits_share(std::size_t p_items, double p_share) const { return p_share >= 1.0 || _at_target + static_cast<double>(p_items) <= p_share * _all; }
 
 	void add(std::size_t p_items, bool p_is_at_target) {
 		_all += static_cast<double>(p_items);
--- a/servers/rollout/version_runs.cpp
+++ b/servers/rollout/open_run_counter.cpp
@@ -1,16 +1,16 @@
 /*
- * calicoscale: version_runs.cpp
+ * calicoscale: open_run_counter.cpp
  * Open runs of this node at each version of each service.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#include "servers/rollout/version_runs.h"
+#include "servers/rollout/open_run_counter.h"
 
 namespace calicoscale {
 
-void version_runs::on_ended(const std::string &p_service, const std::string &p_version) {
+void open_run_counter::on_ended(const std::string &p_service, const std::string &p_version) {
 	const auto service = _open.find(p_service);
 	if (service == _open.end()) {
 		return;
@@ -21,7 +21,7 @@
 	}
 }
 
-std::uint32_t version_runs::count_others(const std::string &p_service, const std::string &p_version) const {
+std::uint32_t open_run_counter::count_others(const std::string &p_service, const std::string &p_version) const {
 	const auto service = _open.find(p_service);
 	std::uint32_t count = 0;
 	if (service != _open.end()) {
--- a/servers/rollout/version_runs.h
+++ b/servers/rollout/open_run_counter.h
@@ -1,13 +1,13 @@
 /*
- * calicoscale: version_runs.h
+ * calicoscale: open_run_counter.h
  * Open runs of this node at each version of each service.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#ifndef VERSION_RUNS_H
-#define VERSION_RUNS_H
+#ifndef OPEN_RUN_COUNTER_H
+#define OPEN_RUN_COUNTER_H
 
 #include <cstdint>
 #include <map>
@@ -16,7 +16,7 @@
 namespace calicoscale {
 
 /** Counts open runs, i.e. requests and calls that were sent and not finished, by service and version. */
-class version_runs {
+class open_run_counter {
 	std::map<std::string, std::map<std::string, std::uint32_t>> _open;
 
 public:
@@ -31,4 +31,4 @@
 
 } // namespace calicoscale
 
-#endif // VERSION_RUNS_H
+#endif // OPEN_RUN_COUNTER_H
--- a/servers/rollout/rollout.cpp
+++ b/servers/rollout/rollout.cpp
@@ -46,7 +46,7 @@
 	_is_quiet = false;
 	_verdict = version_verdict();
 	_answers = version_windows();
-	_record = version_record();
+	_record = version_history();
 }
 
 void rollout::_set_state(rollout_state p_state) {
@@ -63,7 +63,7 @@
 	}
 }
 
-bool rollout::take_order(const rollout_order &p_order, instant p_now) {
+bool rollout::apply_order(const rollout_order &p_order, instant p_now) {
 	if (p_order.at <= _order.at) {
 		return false;
 	}
@@ -78,7 +78,7 @@
 	return true;
 }
 
-void rollout::_apply_reported_age(const told_rollout &p_update, instant p_now) {
+void rollout::_apply_reported_age(const rollout_update &p_update, instant p_now) {
 	// A node that has just restarted must not change the age at running nodes because its time of day was set.
 	const bool is_known = _is_confirmed && !_is_age_estimated;
 	if (is_known && p_update.is_age_estimated) {
@@ -108,8 +108,8 @@
 	}
 }
 
-bool rollout::take_told(const told_rollout &p_update, instant p_now) {
-	bool is_new = take_order(p_update.order, p_now);
+bool rollout::apply_update(const rollout_update &p_update, instant p_now) {
+	bool is_new = apply_order(p_update.order, p_now);
 	if (p_update.order.at != _order.at) {
 		return is_new;
 	}
@@ -117,7 +117,7 @@
 	is_new = is_new || (p_update.is_confirmed && !_is_confirmed) || (p_update.is_written && !_is_written);
 	_is_confirmed = _is_confirmed || p_update.is_confirmed;
 	if (p_update.report.order == _order.at) {
-		_record.take_past(p_update.past, p_update.report.answers.get_index());
+		_record.merge_past(p_update.past, p_update.report.answers.get_index());
 	}
 	for (const std::string &version : p_update.barred) {
 		if (_order.is_withdrawn || version != _order.target_version) {
@@ -137,7 +137,7 @@
 	return is_new;
 }
 
-bool rollout::take_status(const rollout_status &p_status, instant p_now) {
+bool rollout::apply_status(const rollout_status &p_status, instant p_now) {
 	// After the log was restored from an older copy the order has another position.
 	const bool is_same_order = p_status.order == _order.at || p_status.order.era != _order.at.era;
 	if (!is_same_order || p_status.target_version != _order.target_version || _order.is_withdrawn) {
@@ -166,10 +166,10 @@
 	_current_endpoint_count = 0;
 	for (const auto &[name, version] : p_endpoints) {
 		_versions.insert(version);
-		const version_side side = get_side(version);
-		if (side == version_side::TARGET) {
+		const version_role side = get_side(version);
+		if (side == version_role::TARGET) {
 			_target_endpoints.push_back(name);
-		} else if (side == version_side::PRESENT) {
+		} else if (side == version_role::CURRENT) {
 			_current_endpoint_count++;
 		}
 	}
@@ -180,16 +180,16 @@
 	if (!_is_confirmed || !_is_fresh) {
 		return 0.0;
 	}
-	const rollout_course schedule(_bounds, _order.time);
+	const rollout_schedule schedule(_bounds, _order.time);
 	return _moving_since ? schedule.get_share(p_now - *_moving_since) : schedule.get_canary_share();
 }
 
-version_side rollout::get_side(std::string_view p_version) const {
+version_role rollout::get_side(std::string_view p_version) const {
 	if (_blocked_versions.contains(std::string(p_version))) {
-		return version_side::BARRED;
+		return version_role::BLOCKED;
 	}
 	const bool is_target = !_is_ended() && p_version == _order.target_version;
-	return is_target ? version_side::TARGET : version_side::PRESENT;
+	return is_target ? version_role::TARGET : version_role::CURRENT;
 }
 
 bool rollout::is_for_target(std::string_view p_request, instant p_now) const {
@@ -200,19 +200,19 @@
 	if (_current_endpoint_count == 0) {
 		return true;
 	}
-	return rollout_course::is_chosen(p_request, _get_share(p_now));
+	return rollout_schedule::is_chosen(p_request, _get_share(p_now));
 }
 
-bool rollout::is_on_trial(std::string_view p_endpoint, instant p_now) const {
+bool rollout::is_canary_endpoint(std::string_view p_endpoint, instant p_now) const {
 	const double share = _get_share(p_now);
-	const rollout_course schedule(_bounds, _order.time);
-	const bool is_any = std::any_of(_target_endpoints.begin(), _target_endpoints.end(), [this, &schedule, share](const std::string &p_name) { return schedule.is_on_trial(p_name, _target_endpoints.size(), share); });
-	return !is_any || schedule.is_on_trial(p_endpoint, _target_endpoints.size(), share);
+	const rollout_schedule schedule(_bounds, _order.time);
+	const bool is_any = std::any_of(_target_endpoints.begin(), _target_endpoints.end(), [this, &schedule, share](const std::string &p_name) { return schedule.is_canary_endpoint(p_name, _target_endpoints.size(), share); });
+	return !is_any || schedule.is_canary_endpoint(p_endpoint, _target_endpoints.size(), share);
 }
 
 void rollout::_consider_moving(const rollout_view &p_view, instant p_now) {
 	const duration elapsed = get_age(p_now);
-	const rollout_course schedule(_bounds, _order.time);
+	const rollout_schedule schedule(_bounds, _order.time);
 	const duration late_time = (schedule.get_rise_start() + _order.time) / 2;
 	const bool is_due = elapsed >= schedule.get_rise_start() && (_verdict.answers >= MIN_ANSWERS || elapsed >= late_time);
 	const bool is_too_late = elapsed > std::max(late_time, _order.time - schedule.get_rise_time());
@@ -252,7 +252,7 @@
 	_is_age_estimated = _is_age_estimated && !(_is_confirmed && _is_fresh);
 	_record.advance_to(get_age(p_now));
 	if (p_view.total.order == _order.at) {
-		_record.take_total(p_view.total.answers, p_now);
+		_record.set_total(p_view.total.answers, p_now);
 		_verdict = _record.get_all().judge();
 	}
 	_answers.advance_to(_record.get_index());
@@ -263,9 +263,9 @@
 }
 
 void rollout::add_answer(std::string_view p_endpoint, std::string_view p_version, std::string_view p_route, bool p_is_bad) {
-	const version_side side = get_side(p_version);
-	if (!_is_ended() && side != version_side::BARRED) {
-		_answers.add(p_route, side == version_side::TARGET ? version_tally::get_group(p_endpoint) : 0, p_is_bad);
+	const version_role side = get_side(p_version);
+	if (!_is_ended() && side != version_role::BLOCKED) {
+		_answers.add(p_route, side == version_role::TARGET ? version_tally::get_group(p_endpoint) : 0, p_is_bad);
 	}
 }
 
@@ -281,8 +281,8 @@
 	return report;
 }
 
-told_rollout rollout::get_told(instant p_now) const {
-	told_rollout update;
+rollout_update rollout::make_update(instant p_now) const {
+	rollout_update update;
 	update.order = _order;
 	update.age = get_age(p_now);
 	update.is_age_estimated = _is_age_estimated;
--- a/servers/rollout/rollout.h
+++ b/servers/rollout/rollout.h
@@ -9,10 +9,10 @@
 #ifndef ROLLOUT_H
 #define ROLLOUT_H
 
-#include "servers/rollout/rollout_course.h"
 #include "servers/rollout/rollout_order.h"
 #include "servers/rollout/rollout_report.h"
-#include "servers/rollout/version_record.h"
+#include "servers/rollout/rollout_schedule.h"
+#include "servers/rollout/version_history.h"
 
 #include <optional>
 #include <set>
@@ -23,7 +23,7 @@
 namespace calicoscale {
 
 /** Update on a roll-out that nodes send to their peers. */
-struct told_rollout {
+struct rollout_update {
 	rollout_order order;
 	duration age = duration::zero(); ///< Time since the first node on the update's path learned of the order.
 	bool is_age_estimated = false; ///< The age was computed from times of day, which may be set, and no node has acted on it yet.
@@ -37,10 +37,10 @@
 };
 
 /** Role of a version in a roll-out: which share of a service's work its endpoints may get. */
-enum class version_side {
-	PRESENT, ///< A current version: gets the work that isn't selected for the target.
+enum class version_role {
+	CURRENT, ///< A current version: gets the work that isn't selected for the target.
 	TARGET, ///< The ordered version: gets the work that is selected for it.
-	BARRED, ///< A blocked version: gets no work.
+	BLOCKED, ///< A blocked version: gets no work.
 };
 
 /** State of the fleet and the service on which a node bases its decisions about a roll-out. */
@@ -73,11 +73,11 @@
 	bool _is_quiet = false;
 	version_verdict _verdict;
 	version_windows _answers; ///< Counted by this node.
-	version_record _record; ///< Counted by the fleet.
+	version_history _record; ///< Counted by the fleet.
 	std::uint32_t _open_at_present = 0;
 
 	void _begin(const rollout_order &p_order, instant p_learned_at);
-	void _apply_reported_age(const told_rollout &p_update, instant p_now);
+	void _apply_reported_age(const rollout_update &p_update, instant p_now);
 	void _apply_stored_age(const rollout_status &p_status, instant p_now);
 	void _set_state(rollout_state p_state);
 	bool _is_ended() const { return _state != rollout_state::IN_PROGRESS || _order.is_withdrawn; }
@@ -90,13 +90,13 @@
 	rollout(const rollout_bounds &p_bounds, const rollout_order &p_order, instant p_now);
 
 	/** Applies an order of the operator; an older one is ignored. Returns whether it is new. */
-	bool take_order(const rollout_order &p_order, instant p_now);
+	bool apply_order(const rollout_order &p_order, instant p_now);
 
 	/** Applies an update of a peer. Returns whether it contains anything new that has to be forwarded. */
-	bool take_told(const told_rollout &p_update, instant p_now);
+	bool apply_update(const rollout_update &p_update, instant p_now);
 
 	/** Applies the state that was read from the store. Returns whether it belongs to this order. */
-	bool take_status(const rollout_status &p_status, instant p_now);
+	bool apply_status(const rollout_status &p_status, instant p_now);
 
 	/** Records that this node has written a state of this order to the store. */
 	void on_written(rollout_state p_state);
@@ -107,7 +107,7 @@
 	/** Re-evaluates the roll-out. Must be called several times per second. */
 	void consider(const rollout_view &p_view, instant p_now);
 
-	version_side get_side(std::string_view p_version) const;
+	version_role get_side(std::string_view p_version) const;
 
 	/** Returns whether a request is selected for the target. */
 	bool is_for_target(std::string_view p_request, instant p_now) const;
@@ -116,7 +116,7 @@
 	double get_share(instant p_now) const { return _is_ended() ? 0.0 : _get_share(p_now); }
 
 	/** Returns whether an endpoint of the target may get work. During the canary phase only some of them may. */
-	bool is_on_trial(std::string_view p_endpoint, instant p_now) const;
+	bool is_canary_endpoint(std::string_view p_endpoint, instant p_now) const;
 
 	/** Returns whether this node sends nothing to the current version any more. */
 	bool has_moved(instant p_now) const { return !_is_ended() && _is_moved(p_now); }
@@ -134,7 +134,7 @@
 	rollout_report get_report(instant p_now) const;
 
 	/** Returns the update for peers, without a report. */
-	told_rollout get_told(instant p_now) const;
+	rollout_update make_update(instant p_now) const;
 
 	/** Returns the state that has to be written to the store; empty if the store holds it. */
 	std::optional<rollout_status> get_unwritten() const;
--- a/servers/rollout/rollout_course.h
+++ b/servers/rollout/rollout_schedule.h
@@ -1,13 +1,13 @@
 /*
- * calicoscale: rollout_course.h
+ * calicoscale: rollout_schedule.h
  * Share of a service's work that goes to the target of a roll-out, as a function of the time since the order.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#ifndef ROLLOUT_COURSE_H
-#define ROLLOUT_COURSE_H
+#ifndef ROLLOUT_SCHEDULE_H
+#define ROLLOUT_SCHEDULE_H
 
 #include "core/time.h"
 
@@ -27,13 +27,13 @@
  * The share is small during the canary phase and then rises to 1. It rises late enough that a version which turns bad only then
  * has got less than its allowed exposure, and early enough that work at the current version can finish before the deadline.
  */
-class rollout_course {
+class rollout_schedule {
 	rollout_bounds _bounds;
 	duration _time;
 
 public:
 	/** @param p_time time from the order until its deadline. */
-	rollout_course(const rollout_bounds &p_bounds, duration p_time) :
+	rollout_schedule(const rollout_bounds &p_bounds, duration p_time) :
 			_bounds(p_bounds), _time(p_time) {}
 
 	/** Returns the target's share during the canary phase: half of a bad version's allowed exposure. */
@@ -59,9 +59,9 @@
 	 * share, with about three at least, so that each has about its normal load and a version that fails under load shows it.
 	 * @param p_endpoints number of endpoints of the target.
 	 */
-	bool is_on_trial(std::string_view p_endpoint, std::size_t p_endpoints, double p_share) const;
+	bool is_canary_endpoint(std::string_view p_endpoint, std::size_t p_endpoints, double p_share) const;
 };
 
 } // namespace calicoscale
 
-#endif // ROLLOUT_COURSE_H
+#endif // ROLLOUT_SCHEDULE_H
--- a/servers/rollout/rollout_table.cpp
+++ b/servers/rollout/rollout_table.cpp
@@ -54,7 +54,7 @@
 	const rollout *known = find(p_order.service);
 	const bool opens = !p_order.is_withdrawn && !p_order.target_version.empty() && (known == nullptr || (known->is_over() && known->get_order().at < p_order.at));
 	const auto open = std::count_if(_rollouts.begin(), _rollouts.end(), [](const auto &p_entry) { return !p_entry.second.is_over(); });
-	return opens && static_cast<std::size_t>(open) >= MOST_SERVICES;
+	return opens && static_cast<std::size_t>(open) >= MAX_SERVICES;
 }
 
 void rollout_table::_apply(const rollout_order &p_order, instant p_now) {
@@ -69,7 +69,7 @@
 	_waiting_orders.erase(p_order.service);
 	rollout *known = _find(p_order.service);
 	if (known != nullptr) {
-		known->take_order(p_order, p_now);
+		known->apply_order(p_order, p_now);
 	} else if (!p_order.target_version.empty()) {
 		rollout &created = _rollouts.emplace(p_order.service, rollout(_bounds, p_order, p_now)).first->second;
 		created.set_endpoints(_endpoints[p_order.service]);
@@ -87,14 +87,14 @@
 	}
 }
 
-void rollout_table::take_records(const std::vector<rollout_order> &p_orders, instant p_now) {
+void rollout_table::apply_records(const std::vector<rollout_order> &p_orders, instant p_now) {
 	for (const rollout_order &order : p_orders) {
 		_apply(order, p_now);
 		_known_position = std::max(_known_position, log_position{ order.at.era, order.at.offset + 1 });
 	}
 }
 
-void rollout_table::take_whole(const std::vector<rollout_order> &p_orders, const log_position &p_known, instant p_now) {
+void rollout_table::apply_snapshot(const std::vector<rollout_order> &p_orders, const log_position &p_known, instant p_now) {
 	if (p_known < _known_position) {
 		return;
 	}
@@ -117,14 +117,14 @@
 			rollout_order withdrawn = order;
 			withdrawn.is_withdrawn = true;
 			withdrawn.at = p_known;
-			entry.take_order(withdrawn, p_now);
+			entry.apply_order(withdrawn, p_now);
 		}
 	}
 }
 
-bool rollout_table::take_told(const std::vector<told_rollout> &p_updates, instant p_now) {
+bool rollout_table::apply_update(const std::vector<rollout_update> &p_updates, instant p_now) {
 	bool is_new = false;
-	for (const told_rollout &update : p_updates) {
+	for (const rollout_update &update : p_updates) {
 		rollout *known = _find(update.order.service);
 		if (known == nullptr || known->get_order().at < update.order.at) {
 			_apply(update.order, p_now);
@@ -134,7 +134,7 @@
 			}
 			is_new = true;
 		}
-		is_new = known->take_told(update, p_now) || is_new;
+		is_new = known->apply_update(update, p_now) || is_new;
 	}
 	return is_new;
 }
@@ -163,10 +163,10 @@
 	return reports;
 }
 
-std::vector<told_rollout> rollout_table::get_told(const rollout_reports &p_reports, instant p_now) const {
-	std::vector<told_rollout> updates;
+std::vector<rollout_update> rollout_table::make_update(const rollout_reports &p_reports, instant p_now) const {
+	std::vector<rollout_update> updates;
 	for (const auto &[service, entry] : _rollouts) {
-		updates.push_back(entry.get_told(p_now));
+		updates.push_back(entry.make_update(p_now));
 		const auto report = p_reports.find(service);
 		if (report != p_reports.end() && report->second.order == entry.get_order().at) {
 			updates.back().report = report->second;
--- a/servers/rollout/rollout_table.h
+++ b/servers/rollout/rollout_table.h
@@ -42,7 +42,7 @@
 class rollout_table {
 	rollout_bounds _bounds;
 	std::map<std::string, rollout> _rollouts;
-	std::map<std::string, rollout_order> _waiting_orders; ///< Newest orders of services that wait because of MOST_SERVICES.
+	std::map<std::string, rollout_order> _waiting_orders; ///< Newest orders of services that wait because of MAX_SERVICES.
 	std::map<std::string, rollout_change::kind> _reported_kinds; ///< Last change of each service that take_changes() returned.
 	std::map<std::string, log_position> _reported_orders; ///< Order that this change belongs to.
 	std::map<std::string, std::vector<std::pair<std::string, std::string>>> _endpoints; ///< By service: name and version.
@@ -55,19 +55,19 @@
 
 public:
 	/** Maximum number of open orders; further ones wait until one is over. This limits the size of the counts in heartbeats. */
-	static constexpr std::size_t MOST_SERVICES = 16;
+	static constexpr std::size_t MAX_SERVICES = 16;
 
 	explicit rollout_table(const rollout_bounds &p_bounds) :
 			_bounds(p_bounds) {}
 
 	/** Applies consecutive records of the operator's log. */
-	void take_records(const std::vector<rollout_order> &p_orders, instant p_now);
+	void apply_records(const std::vector<rollout_order> &p_orders, instant p_now);
 
 	/** Applies a snapshot: the newest orders of all services as of a position. Orders that it lacks were withdrawn. */
-	void take_whole(const std::vector<rollout_order> &p_orders, const log_position &p_known, instant p_now);
+	void apply_snapshot(const std::vector<rollout_order> &p_orders, const log_position &p_known, instant p_now);
 
 	/** Applies updates of a peer. Returns whether any of them contains something new. */
-	bool take_told(const std::vector<told_rollout> &p_updates, instant p_now);
+	bool apply_update(const std::vector<rollout_update> &p_updates, instant p_now);
 
 	/** Sets the endpoints that aren't leaving: pairs of name and version by service. */
 	void set_endpoints(std::map<std::string, std::vector<std::pair<std::string, std::string>>> p_endpoints);
@@ -86,7 +86,7 @@
 	rollout_reports get_reports(instant p_now) const;
 
 	/** Returns the updates for peers, including the given reports. */
-	std::vector<told_rollout> get_told(const rollout_reports &p_reports, instant p_now) const;
+	std::vector<rollout_update> make_update(const rollout_reports &p_reports, instant p_now) const;
 
 	/** Returns the changes since the last call. */
 	std::vector<rollout_change> take_changes();
--- a/servers/rollout/version_record.cpp
+++ b/servers/rollout/version_history.cpp
@@ -1,12 +1,12 @@
 /*
- * calicoscale: version_record.cpp
+ * calicoscale: version_history.cpp
  * All answers since an order, including those counted by nodes that have failed since.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#include "servers/rollout/version_record.h"
+#include "servers/rollout/version_history.h"
 
 namespace calicoscale {
 
@@ -19,11 +19,11 @@
 
 } // namespace
 
-void version_record::advance_to(duration p_age) {
+void version_history::advance_to(duration p_age) {
 	advance_to(static_cast<std::uint32_t>(p_age / WINDOW_LENGTH));
 }
 
-void version_record::advance_to(std::uint32_t p_index) {
+void version_history::advance_to(std::uint32_t p_index) {
 	if (p_index <= get_index()) {
 		return;
 	}
@@ -35,7 +35,7 @@
 	_latest.advance_to(p_index);
 }
 
-void version_record::take_total(const version_windows &p_total, instant p_now) {
+void version_history::set_total(const version_windows &p_total, instant p_now) {
 	advance_to(p_total.get_index());
 	_latest = p_total;
 	_latest.advance_to(get_index());
@@ -51,12 +51,12 @@
 	}
 }
 
-void version_record::take_past(const version_tally &p_past, std::uint32_t p_index) {
+void version_history::merge_past(const version_tally &p_past, std::uint32_t p_index) {
 	advance_to(p_index);
 	_past.raise_to(p_past);
 }
 
-version_tally version_record::get_all() const {
+version_tally version_history::get_all() const {
 	version_windows open = _stable;
 	open.raise_to(_latest);
 	version_tally all = _past;
--- a/servers/rollout/version_record.h
+++ b/servers/rollout/version_history.h
@@ -1,13 +1,13 @@
 /*
- * calicoscale: version_record.h
+ * calicoscale: version_history.h
  * All answers since an order, including those counted by nodes that have failed since.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#ifndef VERSION_RECORD_H
-#define VERSION_RECORD_H
+#ifndef VERSION_HISTORY_H
+#define VERSION_HISTORY_H
 
 #include "core/time.h"
 #include "servers/rollout/version_windows.h"
@@ -22,7 +22,7 @@
  * does. In an open window a count never decreases. Counts of a node that reconnects, directly or through another hub, are already
  * included in the sum of their window and aren't added twice.
  */
-class version_record {
+class version_history {
 	/** Minimum of all sums received since a point in time. */
 	struct minimum_sum {
 		version_windows minimum;
@@ -42,10 +42,10 @@
 	void advance_to(std::uint32_t p_index);
 
 	/** Applies the current sum over the fleet. */
-	void take_total(const version_windows &p_total, instant p_now);
+	void set_total(const version_windows &p_total, instant p_now);
 
 	/** Merges the closed windows of another node. @param p_index number of the window that was open there. */
-	void take_past(const version_tally &p_past, std::uint32_t p_index);
+	void merge_past(const version_tally &p_past, std::uint32_t p_index);
 
 	const version_tally &get_past() const { return _past; }
 	std::uint32_t get_index() const { return _stable.get_index(); }
@@ -56,4 +56,4 @@
 
 } // namespace calicoscale
 
-#endif // VERSION_RECORD_H
+#endif // VERSION_HISTORY_H
--- a/servers/rollout/version_tally.cpp
+++ b/servers/rollout/version_tally.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-/** Key of all routes beyond the first MOST_ROUTES. */
+/** Key of all routes beyond the first MAX_ROUTES. */
 constexpr std::uint32_t OTHER_ROUTES = 0;
 /** With fewer bad answers a version is never judged bad. */
 constexpr std::uint32_t MIN_BAD_ANSWERS = 4;
@@ -50,7 +50,7 @@
 
 void version_tally::add(std::string_view p_route, std::uint8_t p_group, bool p_is_bad) {
 	const std::uint32_t route = std::max<std::uint32_t>(1, static_cast<std::uint32_t>(hash_bytes(p_route)));
-	add({ version_cell{ route, p_group, 1, p_is_bad ? 1U : 0U } });
+	add({ answer_counts{ route, p_group, 1, p_is_bad ? 1U : 0U } });
 }
 
 std::set<std::uint32_t> version_tally::_get_routes() const {
@@ -61,13 +61,13 @@
 	return routes;
 }
 
-void version_tally::add(const std::vector<version_cell> &p_cells) {
+void version_tally::add(const std::vector<answer_counts> &p_cells) {
 	std::set<std::uint32_t> routes = _get_routes();
-	for (const version_cell &cell : p_cells) {
+	for (const answer_counts &cell : p_cells) {
 		if (cell.group > TARGET_GROUPS) {
 			continue;
 		}
-		const bool is_separate = routes.contains(cell.route) || routes.size() < MOST_ROUTES;
+		const bool is_separate = routes.contains(cell.route) || routes.size() < MAX_ROUTES;
 		const std::uint32_t route = is_separate ? cell.route : OTHER_ROUTES;
 		routes.insert(route);
 		counts &counted = _cells[{ route, cell.group }];
@@ -79,7 +79,7 @@
 void version_tally::raise_to(const version_tally &p_other) {
 	std::set<std::uint32_t> routes = _get_routes();
 	for (const auto &[key, counted] : p_other._cells) {
-		if (!routes.contains(key.first) && routes.size() >= MOST_ROUTES) {
+		if (!routes.contains(key.first) && routes.size() >= MAX_ROUTES) {
 			continue;
 		}
 		routes.insert(key.first);
@@ -98,11 +98,11 @@
 	}
 }
 
-std::vector<version_cell> version_tally::get_cells() const {
-	std::vector<version_cell> cells;
+std::vector<answer_counts> version_tally::get_cells() const {
+	std::vector<answer_counts> cells;
 	cells.reserve(_cells.size());
 	for (const auto &[key, counted] : _cells) {
-		cells.push_back(version_cell{ key.first, key.second, counted.answers, counted.bad });
+		cells.push_back(answer_counts{ key.first, key.second, counted.answers, counted.bad });
 	}
 	return cells;
 }
@@ -118,7 +118,7 @@
 	const counts &current = groups.front();
 	version_verdict verdict;
 	verdict.route = p_all ? OTHER_ROUTES : p_route;
-	verdict.usual_share = std::max(MIN_BASELINE_SHARE, (current.bad + 0.5) / (current.answers + 1.0));
+	verdict.baseline_share = std::max(MIN_BASELINE_SHARE, (current.bad + 0.5) / (current.answers + 1.0));
 	counts worst;
 	int used_groups = 0;
 	for (std::size_t group = 1; group < groups.size(); group++) {
@@ -131,8 +131,8 @@
 	if (current.answers == 0) {
 		return verdict;
 	}
-	const bool is_bad_without_worst = used_groups > 1 && exceeds_baseline(verdict.answers - worst.answers, verdict.bad - worst.bad, verdict.usual_share);
-	const bool is_bad_overall = verdict.bad >= MIN_BAD_ACROSS_GROUPS && exceeds_baseline(verdict.answers, verdict.bad, verdict.usual_share);
+	const bool is_bad_without_worst = used_groups > 1 && exceeds_baseline(verdict.answers - worst.answers, verdict.bad - worst.bad, verdict.baseline_share);
+	const bool is_bad_overall = verdict.bad >= MIN_BAD_ACROSS_GROUPS && exceeds_baseline(verdict.answers, verdict.bad, verdict.baseline_share);
 	verdict.is_bad = is_bad_without_worst || is_bad_overall;
 	return verdict;
 }
--- a/servers/rollout/version_tally.h
+++ b/servers/rollout/version_tally.h
@@ -19,12 +19,12 @@
 namespace calicoscale {
 
 /** Answers of one version, or of one group of the target's endpoints, on one route. */
-struct version_cell {
+struct answer_counts {
 	std::uint32_t route = 0; ///< Hash of the route's name.
 	std::uint8_t group = 0; ///< 0 for the current version, else the group of the target's endpoints.
 	std::uint32_t answers = 0;
 	std::uint32_t bad = 0; ///< Number of them that failed or took several times longer than typical.
-	bool operator==(const version_cell &p_other) const = default;
+	bool operator==(const answer_counts &p_other) const = default;
 };
 
 /** Judgement of the target version from its answers. */
@@ -32,7 +32,7 @@
 	bool is_bad = false;
 	std::uint32_t answers = 0; ///< Answers of the target.
 	std::uint32_t bad = 0; ///< Bad answers of the target.
-	double usual_share = 0.0; ///< Share of bad answers of the current version on the same routes.
+	double baseline_share = 0.0; ///< Share of bad answers of the current version on the same routes.
 	std::uint32_t route = 0; ///< Route to which the judgement applies; 0 for all together.
 };
 
@@ -56,7 +56,7 @@
 public:
 	static constexpr std::uint8_t TARGET_GROUPS = 8;
 	/** Maximum number of routes that are counted separately; answers on further routes share one count. */
-	static constexpr std::size_t MOST_ROUTES = 16;
+	static constexpr std::size_t MAX_ROUTES = 16;
 
 	/** Returns the group of an endpoint of the target version. */
 	static std::uint8_t get_group(std::string_view p_endpoint);
@@ -65,7 +65,7 @@
 	void add(std::string_view p_route, std::uint8_t p_group, bool p_is_bad);
 
 	/** Adds counts of other nodes; cells with an invalid group are ignored. */
-	void add(const std::vector<version_cell> &p_cells);
+	void add(const std::vector<answer_counts> &p_cells);
 
 	/** Raises each count to that of p_other if it is higher. */
 	void raise_to(const version_tally &p_other);
@@ -73,7 +73,7 @@
 	/** Lowers each count to that of p_other if it is lower; removes cells that p_other lacks. */
 	void lower_to(const version_tally &p_other);
 
-	std::vector<version_cell> get_cells() const;
+	std::vector<answer_counts> get_cells() const;
 
 	/** Judges all routes together and then each route; returns the first bad verdict, else that of all routes. */
 	version_verdict judge() const;
--- a/servers/routing/endpoint_state.h
+++ b/servers/routing/endpoint_state.h
@@ -73,7 +73,7 @@
 	int ejection_count = 0; ///< Ejections without a success in between; determines the back-off.
 	instant ejected_until{}; ///< From then on one attempt may test whether the endpoint works again.
 	bool ejected = false;
-	bool trial_open = false; ///< The attempt that tests an ejected endpoint is in flight; no second one is sent meanwhile.
+	bool probe_in_flight = false; ///< The attempt that tests an ejected endpoint is in flight; no second one is sent meanwhile.
 	bool has_report = false;
 	endpoint_load report;
 
--- a/servers/routing/home_regions.h
+++ b/servers/routing/home_regions.h
@@ -42,9 +42,9 @@
 	bool is_bound() const { return _is_bound; }
 
 	/** Returns whether route and customer have no home region in common, so that no endpoint may serve the request. */
-	bool is_nowhere() const { return _is_bound && _regions.empty(); }
+	bool is_unsatisfiable() const { return _is_bound && _regions.empty(); }
 
-	/** Regions to send to another node. Not for a request with is_nowhere(): an empty list means "unrestricted" there. */
+	/** Regions to send to another node. Not for a request with is_unsatisfiable(): an empty list means "unrestricted" there. */
 	const std::vector<std::string> &get_regions() const { return _regions; }
 
 	/** Returns whether an availability zone lies in a home region; false for a zone with an unknown region. */
--- a/servers/routing/router.cpp
+++ b/servers/routing/router.cpp
@@ -53,7 +53,7 @@
 bool is_endpoint_fault(const outcome &p_result) {
 	switch (p_result.why) {
 		case reason::CANCELLED:
-		case reason::CALLER_GONE:
+		case reason::CALLER_DISCONNECTED:
 		case reason::REFUSED_INPUT:
 		case reason::DEADLINE_PASSED:
 			return false;
@@ -201,7 +201,7 @@
 	return true;
 }
 
-void router::take_report(endpoint_id p_endpoint, const endpoint_load &p_report) {
+void router::apply_report(endpoint_id p_endpoint, const endpoint_load &p_report) {
 	const auto found = _endpoints.find(p_endpoint);
 	if (found == _endpoints.end()) {
 		return;
@@ -238,7 +238,7 @@
 	if (!p_endpoint.ejected) {
 		return true;
 	}
-	return p_now >= p_endpoint.ejected_until && !p_endpoint.trial_open;
+	return p_now >= p_endpoint.ejected_until && !p_endpoint.probe_in_flight;
 }
 
 endpoint_state *router::_choose_by_affinity(const endpoint_group &p_group, const choice_request &p_request, instant p_now) {
@@ -325,7 +325,7 @@
 	return open;
 }
 
-bool router::is_closed_off(const choice_request &p_request) const {
+bool router::has_no_admitted_endpoint(const choice_request &p_request) const {
 	bool is_any = false;
 	for (const auto &[id, endpoint] : _endpoints) {
 		const bool is_staying = endpoint->listed && !endpoint->leaving && endpoint->listing.pool == p_request.pool;
@@ -348,7 +348,7 @@
 	endpoint_state &endpoint = *found->second;
 	endpoint.in_flight++;
 	if (endpoint.ejected && p_now >= endpoint.ejected_until) {
-		endpoint.trial_open = true;
+		endpoint.probe_in_flight = true;
 	}
 }
 
@@ -359,7 +359,7 @@
 	}
 	endpoint_state &endpoint = *found->second;
 	endpoint.in_flight--;
-	endpoint.trial_open = false;
+	endpoint.probe_in_flight = false;
 	if (p_observation.result.why == reason::REFUSED_LEAVING) {
 		mark_leaving(endpoint.listing.vm, endpoint.listing.incarnation);
 	} else if (p_observation.result.what == verdict::COMPLETED) {
@@ -390,8 +390,8 @@
 }
 
 void router::_on_success(endpoint_state &p_endpoint, const attempt_observation &p_observation, instant p_now) {
-	if (p_observation.usual > duration::zero()) {
-		const double sample = static_cast<double>(p_observation.elapsed.count()) / static_cast<double>(p_observation.usual.count());
+	if (p_observation.typical > duration::zero()) {
+		const double sample = static_cast<double>(p_observation.elapsed.count()) / static_cast<double>(p_observation.typical.count());
 		_update_slowness(p_endpoint, std::min(sample, MAX_SLOWNESS), p_now);
 	}
 	_update_error_share(p_endpoint, 0.0, p_now);
@@ -405,10 +405,10 @@
 
 void router::_on_cancelled(endpoint_state &p_endpoint, const attempt_observation &p_observation, instant p_now) {
 	// The attempt would have taken even longer, so the elapsed time is a lower bound of its service time.
-	if (p_observation.usual <= duration::zero() || p_observation.elapsed <= p_observation.usual) {
+	if (p_observation.typical <= duration::zero() || p_observation.elapsed <= p_observation.typical) {
 		return;
 	}
-	const double sample = static_cast<double>(p_observation.elapsed.count()) / static_cast<double>(p_observation.usual.count());
+	const double sample = static_cast<double>(p_observation.elapsed.count()) / static_cast<double>(p_observation.typical.count());
 	if (sample > p_endpoint.get_slowness(p_now)) {
 		_update_slowness(p_endpoint, std::min(sample, MAX_SLOWNESS), p_now);
 	}
--- a/servers/routing/router.h
+++ b/servers/routing/router.h
@@ -41,7 +41,7 @@
 struct attempt_observation {
 	outcome result;
 	duration elapsed = duration::zero();
-	duration usual = duration::zero(); ///< Typical time for the request's size in this pool; zero if unknown.
+	duration typical = duration::zero(); ///< Typical time for the request's size in this pool; zero if unknown.
 };
 
 /** Settings of the router from the configuration. */
@@ -123,7 +123,7 @@
 	void set_settings(router_settings p_settings);
 
 	/** Sets the zones whose endpoints are chosen only if no other is available. */
-	void set_unreached_zones(std::set<std::string> p_zones) { _unreached_zones = std::move(p_zones); }
+	void set_unreachable_zones(std::set<std::string> p_zones) { _unreached_zones = std::move(p_zones); }
 
 	/** Sets the zones whose endpoints get no new attempts; running attempts continue. */
 	void set_evacuated_zones(const std::set<std::string> &p_zones);
@@ -144,7 +144,7 @@
 	const std::map<std::string, std::uint64_t> &get_leaving_marks() const { return _leaving_marks; }
 
 	/** Stores a load report of an endpoint; ignored if the endpoint is unknown. */
-	void take_report(endpoint_id p_endpoint, const endpoint_load &p_report);
+	void apply_report(endpoint_id p_endpoint, const endpoint_load &p_report);
 
 	/** Chooses an endpoint; empty if the pool has no open one. Doesn't count the attempt: see on_attempt_started. */
 	std::optional<endpoint_id> choose(const choice_request &p_request, instant p_now);
@@ -156,7 +156,7 @@
 	std::vector<endpoint_identity> get_open(const choice_request &p_request);
 
 	/** Returns whether the pool has listed endpoints that aren't leaving, but all are evacuated or not admitted, so nothing can be sent. */
-	bool is_closed_off(const choice_request &p_request) const;
+	bool has_no_admitted_endpoint(const choice_request &p_request) const;
 
 	/** Counts an attempt that was started. */
 	void on_attempt_started(endpoint_id p_endpoint, instant p_now);
--- a/servers/timeline/request_story.cpp
+++ b/servers/timeline/request_timeline.cpp
@@ -1,12 +1,12 @@
 /*
- * calicoscale: request_story.cpp
+ * calicoscale: request_timeline.cpp
  * Collects the log lines of all nodes on one request and explains its outcome.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#include "servers/timeline/request_story.h"
+#include "servers/timeline/request_timeline.h"
 
 #include <algorithm>
 #include <array>
@@ -62,15 +62,15 @@
 
 } // namespace
 
-request_story::request_story(std::string p_request) :
+request_timeline::request_timeline(std::string p_request) :
 		_request(std::move(p_request)) {
 }
 
-bool request_story::_is_about_request(const logged_event &p_entry) const {
+bool request_timeline::_is_about_request(const logged_event &p_entry) const {
 	return p_entry.find("request") == _request || is_in_list(p_entry.find("requests"), _request);
 }
 
-bool request_story::_is_context(const std::string &p_node, const logged_event &p_entry) const {
+bool request_timeline::_is_context(const std::string &p_node, const logged_event &p_entry) const {
 	const std::string endpoint(p_entry.find("endpoint"));
 	const std::string replica(p_entry.find("replica"));
 	if (p_entry.event == "endpoint_changed" || p_entry.event == "endpoint_leaving") {
@@ -87,7 +87,7 @@
 	return (is_lifecycle || is_dependency || p_entry.event == "log_lines_dropped") && _nodes.contains(p_node);
 }
 
-std::int64_t request_story::_update_clock(node_log &r_log, const logged_event &p_entry) {
+std::int64_t request_timeline::_update_clock(node_log &r_log, const logged_event &p_entry) {
 	const std::optional<std::int64_t> wall = p_entry.find_number("wall_ms");
 	if (wall) {
 		r_log.wall_offset = *wall - p_entry.steady_ms;
@@ -98,11 +98,11 @@
 	return p_entry.steady_ms + r_log.wall_offset.value_or(0);
 }
 
-void request_story::_add(const std::string &p_node, std::int64_t p_wall_ms, const logged_event &p_entry, bool p_is_own) {
+void request_timeline::_add(const std::string &p_node, std::int64_t p_wall_ms, const logged_event &p_entry, bool p_is_own) {
 	_lines.push_back(merged_line{ p_wall_ms, p_node, p_entry, p_is_own });
 }
 
-void request_story::read(const std::string &p_log, std::string_view p_line) {
+void request_timeline::read(const std::string &p_log, std::string_view p_line) {
 	const std::optional<logged_event> entry = parse_logged_event(p_line);
 	if (!entry) {
 		return;
@@ -130,7 +130,7 @@
 	_add(log.node, wall, *entry, true);
 }
 
-void request_story::read_context(const std::string &p_log, std::string_view p_line) {
+void request_timeline::read_context(const std::string &p_log, std::string_view p_line) {
 	const std::optional<logged_event> entry = parse_logged_event(p_line);
 	if (!entry || _lines.empty()) {
 		return;
@@ -143,7 +143,7 @@
 	}
 }
 
-const logged_event *request_story::_find_last(std::string_view p_event) const {
+const logged_event *request_timeline::_find_last(std::string_view p_event) const {
 	const logged_event *last = nullptr;
 	for (const merged_line &line : _lines) {
 		if (line.is_own && line.entry.event == p_event) {
@@ -153,7 +153,7 @@
 	return last;
 }
 
-std::string request_story::_explain_refusal(const logged_event &p_entry) const {
+std::string request_timeline::_explain_refusal(const logged_event &p_entry) const {
 	std::string text = "Refused as not run with " + std::string(p_entry.find("status")) + ": " + describe_reason(p_entry.find("reason")) + ".";
 	if (!p_entry.find("predicted_ms").empty()) {
 		text += " Predicted " + std::string(p_entry.find("predicted_ms")) + " ms, allowed " + std::string(p_entry.find("allowed_ms")) + " ms.";
@@ -161,7 +161,7 @@
 	return text;
 }
 
-std::string request_story::_describe_longest_wait() const {
+std::string request_timeline::_describe_longest_wait() const {
 	std::string longest;
 	std::int64_t longest_ms = 0;
 	const auto update_longest = [&longest, &longest_ms](std::int64_t p_ms, const std::string &p_activity) {
@@ -186,7 +186,7 @@
 	return longest.empty() ? "" : " The longest wait was " + std::to_string(longest_ms) + " ms, for " + longest + ".";
 }
 
-std::string request_story::_explain_finish(const logged_event &p_finish) const {
+std::string request_timeline::_explain_finish(const logged_event &p_finish) const {
 	const std::string took = std::string(p_finish.find("took_ms")) + " ms";
 	if (p_finish.find("verdict") == "completed") {
 		return "Answered in full after " + took + " and " + std::string(p_finish.find("sends")) + " sends." + _describe_longest_wait();
@@ -204,7 +204,7 @@
 	return text + _describe_longest_wait();
 }
 
-std::string request_story::get_cause() const {
+std::string request_timeline::get_cause() const {
 	if (!is_known()) {
 		return "No line names the request: it reached none of these nodes, or its lines were dropped (see log_lines_dropped).";
 	}
@@ -224,7 +224,7 @@
 	return "No end is logged: the node that had the request ended, or the line was dropped (see log_lines_dropped).";
 }
 
-std::string request_story::write() {
+std::string request_timeline::write() {
 	std::stable_sort(_lines.begin(), _lines.end(), [](const merged_line &p_left, const merged_line &p_right) { return p_left.wall_ms < p_right.wall_ms; });
 	std::string text;
 	for (const merged_line &line : _lines) {
--- a/servers/timeline/request_story.h
+++ b/servers/timeline/request_timeline.h
@@ -1,13 +1,13 @@
 /*
- * calicoscale: request_story.h
+ * calicoscale: request_timeline.h
  * Collects the log lines of all nodes on one request and explains its outcome.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#ifndef REQUEST_STORY_H
-#define REQUEST_STORY_H
+#ifndef REQUEST_TIMELINE_H
+#define REQUEST_TIMELINE_H
 
 #include "servers/timeline/logged_event.h"
 
@@ -25,7 +25,7 @@
  * about the request itself, then for its context: other events of the same time that concern the endpoints, calls and
  * nodes that the request used.
  */
-class request_story {
+class request_timeline {
 	struct merged_line {
 		std::int64_t wall_ms = 0;
 		std::string node;
@@ -60,7 +60,7 @@
 
 public:
 	/** @param p_request id as the caller sent it. */
-	explicit request_story(std::string p_request);
+	explicit request_timeline(std::string p_request);
 
 	/**
 	 * Reads a line in the first pass.
@@ -83,4 +83,4 @@
 
 } // namespace calicoscale
 
-#endif // REQUEST_STORY_H
+#endif // REQUEST_TIMELINE_H
--- a/tests/benchmarks/decision_benchmark.cpp
+++ b/tests/benchmarks/decision_benchmark.cpp
@@ -13,7 +13,7 @@
 #include "servers/limits/customer_limiter.h"
 #include "servers/limits/pool_gate.h"
 #include "servers/membership/member_table.h"
-#include "servers/once/claim_book.h"
+#include "servers/once/claim_registry.h"
 #include "servers/request/request_flow.h"
 
 #include <benchmark/benchmark.h>
@@ -89,7 +89,7 @@
 		hooks.may_hedge = [](const std::string &, instant) { return true; };
 		hooks.estimate = [this](const request_plan &p_plan, std::size_t p_stage, instant p_now) {
 			const size_class size = get_size_class(p_plan, p_stage);
-			return stage_estimate{ _times.estimate("pool", timed_part::WHOLE, size, 0.5, p_now), _times.estimate("pool", timed_part::UNLOADED, size, 0.2, p_now), _times.estimate("pool", timed_part::WHOLE, size, 0.95, p_now), duration::zero() };
+			return stage_estimate{ _times.estimate("pool", time_kind::TOTAL, size, 0.5, p_now), _times.estimate("pool", time_kind::UNLOADED, size, 0.2, p_now), _times.estimate("pool", time_kind::TOTAL, size, 0.95, p_now), duration::zero() };
 		};
 		hooks.draw = [] { return 0.5; };
 		return hooks;
@@ -100,14 +100,14 @@
 			_customers(p_customers) {
 		_router.set_listings(make_listings(p_endpoints));
 		for (std::int64_t i = 0; i < p_customers; i++) {
-			_limiter.set_part("customer-" + std::to_string(i), customer_limits{ 1e9, 1.0, 1'000'000 }, limit_part{ 1.0, 1'000'000 }, at(0));
+			_limiter.set_part("customer-" + std::to_string(i), customer_limits{ 1e9, 1.0, 1'000'000 }, node_limit_share{ 1.0, 1'000'000 }, at(0));
 		}
 		for (std::size_t stage = 0; stage < 4; stage++) {
 			_gates.try_emplace(stage, 1000);
 		}
 		for (int i = 0; i < 100; i++) {
-			_times.add("pool", timed_part::WHOLE, 1, std::chrono::milliseconds(10), at(0));
-			_times.add("pool", timed_part::UNLOADED, 1, std::chrono::milliseconds(10), at(0));
+			_times.add("pool", time_kind::TOTAL, 1, std::chrono::milliseconds(10), at(0));
+			_times.add("pool", time_kind::UNLOADED, 1, std::chrono::milliseconds(10), at(0));
 		}
 	}
 
@@ -134,20 +134,20 @@
 			waiting.customer = customer;
 			waiting.start_by = at(_now + 1'000'000);
 			_gates.at(stage).enter(waiting, at(_now));
-			const std::vector<request_action> actions = flow.on_place_given(at(_now));
+			const std::vector<request_action> actions = flow.on_slot_granted(at(_now));
 			const start_attempt &attempt = std::get<start_attempt>(actions.front());
 			_router.on_attempt_started(attempt.endpoint, at(_now));
 			_now += 10'000;
 			const outcome result{ verdict::COMPLETED, reason::NONE };
 			_router.on_attempt_ended(attempt.endpoint, attempt_observation{ result, std::chrono::milliseconds(10), std::chrono::milliseconds(10) }, at(_now));
-			_times.add("pool", timed_part::WHOLE, 1, std::chrono::milliseconds(10), at(_now));
+			_times.add("pool", time_kind::TOTAL, 1, std::chrono::milliseconds(10), at(_now));
 			attempt_end end;
 			end.result = result;
 			end.output = "\"done\"";
 			end.cost_known = true;
 			end.units = 1.0;
 			flow.on_attempt_ended(attempt.id, end, at(_now));
-			_gates.at(stage).leave(place_use::SUCCEEDED, std::chrono::milliseconds(10), 1.0, at(_now));
+			_gates.at(stage).leave(slot_outcome::SUCCEEDED, std::chrono::milliseconds(10), 1.0, at(_now));
 			_ledger.book(cost_key{ customer, "pipeline", "stage", "pool", cost_use::USEFUL }, cost_sum{ 1000, 1, 1 });
 		}
 		_limiter.on_ended(customer);
@@ -210,14 +210,14 @@
 		members.push_back(share_member{ "vm" + std::to_string(i), zones[static_cast<std::size_t>(i) % 28], true, { { get_customer_code("c"), 1.0 } } });
 	}
 	for (auto _ : r_state) {
-		benchmark::DoNotOptimize(compute_limit_part("vm0", members, zones, "c", 100.0, 200));
+		benchmark::DoNotOptimize(compute_limit_share("vm0", members, zones, "c", 100.0, 200));
 	}
 }
 
 void heartbeat_received(benchmark::State &r_state) {
 	const double before = get_heap_bytes();
 	member_table table(make_digest(0));
-	table.take_digests(make_digests(r_state.range(0)), at(0));
+	table.merge_digests(make_digests(r_state.range(0)), at(0));
 	r_state.counters["bytes"] = get_heap_bytes() - before;
 	heartbeat_message message;
 	message.digests = table.make_heartbeat();
@@ -226,7 +226,7 @@
 		const std::string bytes = encode(link_message(message));
 		frame = bytes.size();
 		const std::optional<link_message> decoded = decode_link_message(bytes);
-		table.take_digests(std::get<heartbeat_message>(*decoded).digests, at(0));
+		table.merge_digests(std::get<heartbeat_message>(*decoded).digests, at(0));
 	}
 	r_state.counters["frame_bytes"] = static_cast<double>(frame);
 }
@@ -275,7 +275,7 @@
 	claim_batch batch;
 	batch.vm = "other";
 	batch.incarnation = 9;
-	claim_book book("vm", 1, std::chrono::minutes(10), 100'000'000);
+	claim_registry book("vm", 1, std::chrono::minutes(10), 100'000'000);
 	std::uint64_t offset = 0;
 	const double before = get_heap_bytes();
 	for (auto _ : r_state) {
--- a/tests/benchmarks/endpoint_news_benchmark.cpp
+++ b/tests/benchmarks/endpoint_news_benchmark.cpp
@@ -39,7 +39,7 @@
 	std::size_t bytes = 0;
 	for (auto _ : p_state) {
 		const std::vector<endpoint_record> records = make_records(incarnation++);
-		bytes = encode(link_message(tell_reading_message{ reader.take_records(records, 0, ENDPOINTS, NOW) })).size();
+		bytes = encode(link_message(report_delta_message{ reader.apply_records(records, 0, ENDPOINTS, NOW) })).size();
 	}
 	p_state.counters["bytes"] = static_cast<double>(bytes);
 }
@@ -51,9 +51,9 @@
 	for (auto _ : p_state) {
 		p_state.PauseTiming();
 		endpoint_directory reader;
-		const std::string bytes = encode(link_message(tell_reading_message{ reader.take_records(make_records(incarnation++), 0, ENDPOINTS, NOW) }));
+		const std::string bytes = encode(link_message(report_delta_message{ reader.apply_records(make_records(incarnation++), 0, ENDPOINTS, NOW) }));
 		p_state.ResumeTiming();
-		node.take_reading(std::get<tell_reading_message>(*decode_link_message(bytes)).reading, NOW);
+		node.apply_delta(std::get<report_delta_message>(*decode_link_message(bytes)).reading, NOW);
 	}
 }
 
--- a/tests/benchmarks/gateway_benchmark.cpp
+++ b/tests/benchmarks/gateway_benchmark.cpp
@@ -32,7 +32,7 @@
 	spec.batch = 8;
 	spec.call_time = milliseconds(150);
 	spec.piece_time = milliseconds(16);
-	spec.room_bytes = 1e9;
+	spec.capacity_bytes = 1e9;
 	spec.result_ttl = std::chrono::seconds(8);
 	stage_pool pool;
 	pool.set_spec(spec);
--- a/tests/core/core_test.cpp
+++ b/tests/core/core_test.cpp
@@ -43,17 +43,17 @@
 TEST(bounded_body, what_is_too_large_is_not_whole_whatever_comes_after) {
 	bounded_body body(10);
 	body.append("0123456789");
-	EXPECT_TRUE(body.is_whole());
+	EXPECT_TRUE(body.is_complete());
 	EXPECT_EQ(body.get(), "0123456789");
 	body.append("a");
 	body.append("");
-	EXPECT_FALSE(body.is_whole());
+	EXPECT_FALSE(body.is_complete());
 	EXPECT_EQ(body.get(), "");
 	body.append("bc");
-	EXPECT_FALSE(body.is_whole());
+	EXPECT_FALSE(body.is_complete());
 	EXPECT_EQ(body.get(), "");
 	body.clear();
-	EXPECT_TRUE(body.is_whole());
+	EXPECT_TRUE(body.is_complete());
 }
 
 TEST(verdict, every_reason_has_a_name_that_leads_back_and_a_status) {
--- a/tests/core/timer_queue_test.cpp
+++ b/tests/core/timer_queue_test.cpp
@@ -6,7 +6,7 @@
  * SPDX-License-Identifier: MIT
  */
 
-#include "core/hold_up.h"
+#include "core/process_stall.h"
 #include "core/timer_queue.h"
 
 #include <gtest/gtest.h>
@@ -56,15 +56,15 @@
 }
 
 TEST(hold_up_watch, tells_what_kept_the_process_from_running) {
-	hold_up_watch detector;
+	stall_detector detector;
 	EXPECT_EQ(detector.note(make_clock_reading(0, 0), seconds(5)).late, duration::zero()) << "the first call has no earlier clock values to compare with";
 	EXPECT_EQ(detector.note(make_clock_reading(30, 30), milliseconds(1)).late, duration::zero());
-	const hold_up suspended = detector.note(make_clock_reading(2060, 60), milliseconds(2000));
+	const process_stall suspended = detector.note(make_clock_reading(2060, 60), milliseconds(2000));
 	EXPECT_EQ(suspended.late, duration(milliseconds(2000)));
-	EXPECT_EQ(suspended.cause, hold_up_cause::SUSPENSION);
-	const hold_up paused = detector.note(make_clock_reading(3090, 1090), milliseconds(1000));
+	EXPECT_EQ(suspended.cause, stall_cause::SUSPENSION);
+	const process_stall paused = detector.note(make_clock_reading(3090, 1090), milliseconds(1000));
 	EXPECT_EQ(paused.late, duration(milliseconds(1000)));
-	EXPECT_EQ(paused.cause, hold_up_cause::PAUSE);
+	EXPECT_EQ(paused.cause, stall_cause::PAUSE);
 }
 
 } // namespace calicoscale
--- a/tests/drivers/caller_connection_end_test.cpp
+++ b/tests/drivers/caller_connection_end_test.cpp
@@ -90,7 +90,7 @@
 
 TEST_F(caller_connection_end_test, a_request_that_crosses_the_end_of_a_rested_connection_is_reset_unread) {
 	std::size_t crossed = 0;
-	_server->set_on_crossed([&crossed](const crossed_end &p_crossed) { crossed += p_crossed.bytes; });
+	_server->set_on_post_close_input([&crossed](const post_close_input &p_crossed) { crossed += p_crossed.bytes; });
 	raw_connection connection(_server->get_address());
 	serve_one(connection);
 	// The caller does not look at its connection before it sends: its request and the end cross.
--- a/tests/drivers/event_loop_test.cpp
+++ b/tests/drivers/event_loop_test.cpp
@@ -91,8 +91,8 @@
 }
 
 TEST_F(event_loop_test, a_suspension_and_a_pause_are_told_apart) {
-	std::vector<hold_up> told;
-	_loop.held_up().connect([&told](const hold_up &p_hold_up) { told.push_back(p_hold_up); });
+	std::vector<process_stall> told;
+	_loop.stalled().connect([&told](const process_stall &p_hold_up) { told.push_back(p_hold_up); });
 	timer tick(_loop, [&tick] { tick.set(milliseconds(10)); });
 	tick.set(milliseconds(10));
 	run_for(milliseconds(50));
@@ -100,17 +100,17 @@
 	suspended = seconds(2);
 	run_for(milliseconds(50));
 	ASSERT_EQ(told.size(), 1U);
-	EXPECT_EQ(told.back().cause, hold_up_cause::SUSPENSION);
+	EXPECT_EQ(told.back().cause, stall_cause::SUSPENSION);
 	EXPECT_GE(told.back().late, duration(milliseconds(1900)));
 	std::this_thread::sleep_for(milliseconds(300));
 	run_for(milliseconds(50));
 	ASSERT_EQ(told.size(), 2U);
-	EXPECT_EQ(told.back().cause, hold_up_cause::PAUSE);
+	EXPECT_EQ(told.back().cause, stall_cause::PAUSE);
 }
 
 TEST_F(event_loop_test, after_a_hold_up_what_waits_is_read_before_silence_is_judged) {
 	std::string order;
-	_loop.held_up().connect([&order](const hold_up &) { order += "told "; });
+	_loop.stalled().connect([&order](const process_stall &) { order += "told "; });
 	timer deadline(
 			_loop, [&order] { order += "deadline "; }, timer_order::BEFORE_SOCKETS);
 	timer silence(_loop, [&order] { order += "silence "; });
--- a/tests/drivers/http_exchange_test.cpp
+++ b/tests/drivers/http_exchange_test.cpp
@@ -156,7 +156,7 @@
 	std::unique_ptr<raw_connection> connection = std::make_unique<raw_connection>(_server->get_address());
 	connection->send_bytes("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
 	run_until(*connection, [this] { return _exchanges.size() == 1; });
-	_exchanges[0]->set_on_gone([&gone] { gone = true; });
+	_exchanges[0]->set_on_disconnect([&gone] { gone = true; });
 	connection->close_sending();
 	run_until(*connection, [&gone] { return gone; });
 	_exchanges[0]->reply(200, {}, "goes nowhere");
@@ -169,7 +169,7 @@
 	std::optional<raw_connection> connection(_server->get_address());
 	connection->send_bytes("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
 	run_until(*connection, [this] { return !_exchanges.empty(); });
-	_exchanges.front()->set_on_gone([this] { _loop.stop(); });
+	_exchanges.front()->set_on_disconnect([this] { _loop.stop(); });
 	connection.reset();
 	while (!_exchanges.front()->is_gone()) {
 		_loop.run_pending();
--- a/tests/drivers/link_test.cpp
+++ b/tests/drivers/link_test.cpp
@@ -65,13 +65,13 @@
 } // namespace
 
 TEST(link_codec, prompts_come_back_with_their_engines_and_links) {
-	tell_prompts_message told;
-	told.prompts.push_back(told_prompt{ 7, { "i-1", 1 }, { prompt_link{ 11, 100 }, prompt_link{ 12, 20 } } });
-	told.prompts.push_back(told_prompt{ 8, { "i-2", 0 }, {} });
-	told.prompts.push_back(told_prompt{ 9, { "i-1", 2 }, { prompt_link{ 13, 5 } } });
+	report_prompts_message told;
+	told.prompts.push_back(prompt_record{ 7, { "i-1", 1 }, { prompt_link{ 11, 100 }, prompt_link{ 12, 20 } } });
+	told.prompts.push_back(prompt_record{ 8, { "i-2", 0 }, {} });
+	told.prompts.push_back(prompt_record{ 9, { "i-1", 2 }, { prompt_link{ 13, 5 } } });
 	const std::optional<link_message> decoded = decode_link_message(encode(link_message(told)));
 	ASSERT_TRUE(decoded);
-	const tell_prompts_message &read = std::get<tell_prompts_message>(*decoded);
+	const report_prompts_message &read = std::get<report_prompts_message>(*decoded);
 	ASSERT_EQ(read.prompts.size(), 3U);
 	EXPECT_EQ(read.prompts[0].engine, (endpoint_identity{ "i-1", 1 }));
 	EXPECT_EQ(read.prompts[1].engine, (endpoint_identity{ "i-2", 0 }));
@@ -101,7 +101,7 @@
 	listing.pool = "llm";
 	listing.leaving = true;
 	listing.cold_left = std::chrono::milliseconds(1800);
-	const endpoint_reading told_reading = std::get<tell_reading_message>(*decode_link_message(encode(link_message(tell_reading_message{ endpoint_reading{ 3, 9, { listing }, { "lapsed" }, 77, 78, 6, true } })))).reading;
+	const endpoint_delta told_reading = std::get<report_delta_message>(*decode_link_message(encode(link_message(report_delta_message{ endpoint_delta{ 3, 9, { listing }, { "lapsed" }, 77, 78, 6, true } })))).reading;
 	EXPECT_EQ(told_reading.from, 3U);
 	EXPECT_EQ(told_reading.to, 9U);
 	EXPECT_EQ(told_reading.written, (std::vector<endpoint_listing>{ listing }));
@@ -110,13 +110,13 @@
 	EXPECT_EQ(told_reading.listed_starts, 78U);
 	EXPECT_EQ(told_reading.era, 6U);
 	EXPECT_TRUE(told_reading.is_whole);
-	hand_work_message work;
+	assign_work_message work;
 	work.pool = "p";
 	work.homes = { "north", "south" };
-	EXPECT_EQ(std::get<hand_work_message>(*decode_link_message(encode(link_message(work)))).homes, work.homes);
+	EXPECT_EQ(std::get<assign_work_message>(*decode_link_message(encode(link_message(work)))).homes, work.homes);
 	const work_ended_message ended = std::get<work_ended_message>(*decode_link_message(encode(link_message(work_ended_message{ 1, 0, { "h" }, { 5 } }))));
 	EXPECT_EQ(ended.incarnations, (std::vector<std::uint64_t>{ 5 }));
-	const tell_results_message results = std::get<tell_results_message>(*decode_link_message(encode(link_message(tell_results_message{ "p", { "h" }, { 9 }, { 5 } }))));
+	const report_results_message results = std::get<report_results_message>(*decode_link_message(encode(link_message(report_results_message{ "p", { "h" }, { 9 }, { 5 } }))));
 	EXPECT_EQ(results.incarnations, (std::vector<std::uint64_t>{ 5 }));
 	configuration_snapshot snapshot{ 4, 9, true, "change", "{}" };
 	const configuration_snapshot told = std::get<configuration_snapshot>(*decode_link_message(encode(link_message(snapshot))));
@@ -127,7 +127,7 @@
 }
 
 TEST(link_codec, each_kind_of_message_has_the_name_that_the_schema_gives_it) {
-	const std::map<std::string, link_message> messages{ { "hello", hello_message() }, { "heartbeat", make_heartbeat() }, { "tell_configuration", configuration_snapshot() }, { "hand_work", hand_work_message() }, { "tell_prompts", tell_prompts_message() }, { "tell_reading", tell_reading_message() }, { "tell_crashes", tell_crashes_message() }, { "tell_limits", tell_limits_message() } };
+	const std::map<std::string, link_message> messages{ { "hello", hello_message() }, { "heartbeat", make_heartbeat() }, { "tell_configuration", configuration_snapshot() }, { "hand_work", assign_work_message() }, { "tell_prompts", report_prompts_message() }, { "tell_reading", report_delta_message() }, { "tell_crashes", report_crashes_message() }, { "tell_limits", report_limits_message() } };
 	for (const auto &[name, message] : messages) {
 		EXPECT_EQ(get_kind_name(message.index()), name);
 		const std::string bytes = encode(message);
@@ -155,8 +155,8 @@
 	const auto body = endpoints.Finish().Union();
 	builder.Finish(wire::Createframe(builder, wire::message_tell_endpoints, body));
 	const std::string_view bytes(reinterpret_cast<const char *>(builder.GetBufferPointer()), builder.GetSize());
-	EXPECT_EQ(std::get<tell_endpoints_message>(*decode_link_message(bytes)).known.offset, 0U);
-	EXPECT_EQ(std::get<tell_endpoints_message>(*decode_link_message(encode(link_message(tell_endpoints_message{ {}, { 2, 5 } })))).known, (log_position{ 2, 5 }));
+	EXPECT_EQ(std::get<report_endpoints_message>(*decode_link_message(bytes)).known.offset, 0U);
+	EXPECT_EQ(std::get<report_endpoints_message>(*decode_link_message(encode(link_message(report_endpoints_message{ {}, { 2, 5 } })))).known, (log_position{ 2, 5 }));
 }
 
 RC_GTEST_PROP(link_codec_properties, any_bytes_are_read_or_refused_but_never_crash, (const std::vector<std::uint8_t> &p_bytes)) {
@@ -171,10 +171,10 @@
 }
 
 TEST(link_codec, times_and_amounts_out_of_range_are_brought_within) {
-	hand_work_message work;
+	assign_work_message work;
 	work.give_up_in = duration::max();
 	work.due_in = duration::min();
-	const hand_work_message told = std::get<hand_work_message>(*decode_link_message(encode(link_message(work))));
+	const assign_work_message told = std::get<assign_work_message>(*decode_link_message(encode(link_message(work))));
 	EXPECT_LT(told.give_up_in, duration(std::chrono::hours(25)));
 	EXPECT_GT(told.due_in, duration(std::chrono::hours(-25)));
 	heartbeat_message heartbeat = make_heartbeat();
@@ -188,10 +188,10 @@
 }
 
 TEST(link_codec, limits_keep_their_ages_and_ends_and_rates_that_are_none_are_refused) {
-	tell_limits_message limits;
-	limits.limits.push_back(told_limit{ endpoint_identity{ "e1", 7 }, 1.25, std::chrono::milliseconds(1500) });
-	limits.limits.push_back(told_limit{ endpoint_identity{ "e2", 8 }, std::nullopt, std::chrono::milliseconds(20) });
-	const tell_limits_message read = std::get<tell_limits_message>(*decode_link_message(encode(link_message(limits))));
+	report_limits_message limits;
+	limits.limits.push_back(reported_limit{ endpoint_identity{ "e1", 7 }, 1.25, std::chrono::milliseconds(1500) });
+	limits.limits.push_back(reported_limit{ endpoint_identity{ "e2", 8 }, std::nullopt, std::chrono::milliseconds(20) });
+	const report_limits_message read = std::get<report_limits_message>(*decode_link_message(encode(link_message(limits))));
 	ASSERT_EQ(read.limits.size(), 2U);
 	EXPECT_EQ(read.limits[0].endpoint, limits.limits[0].endpoint);
 	EXPECT_EQ(read.limits[0].rate, 1.25);
@@ -204,38 +204,38 @@
 }
 
 TEST(link_codec, news_of_crashes_keep_their_ages_and_unknown_ones_are_refused) {
-	tell_crashes_message crashes;
+	report_crashes_message crashes;
 	crashes.is_whole = true;
-	crashes.news.push_back(told_crash{ crash_news::TRIAL_SENT, request_fingerprint{ 1, half_digest{ 2, 3 } }, 4, std::chrono::milliseconds(1500) });
-	const tell_crashes_message read = std::get<tell_crashes_message>(*decode_link_message(encode(link_message(crashes))));
+	crashes.news.push_back(reported_crash{ crash_event::TRIAL_SENT, request_fingerprint{ 1, half_digest{ 2, 3 } }, 4, std::chrono::milliseconds(1500) });
+	const report_crashes_message read = std::get<report_crashes_message>(*decode_link_message(encode(link_message(crashes))));
 	EXPECT_TRUE(read.is_whole);
 	ASSERT_EQ(read.news.size(), 1U);
-	EXPECT_EQ(read.news.front().news, crash_news::TRIAL_SENT);
+	EXPECT_EQ(read.news.front().news, crash_event::TRIAL_SENT);
 	EXPECT_EQ(read.news.front().run, crashes.news.front().run);
 	EXPECT_EQ(read.news.front().subject, 4U);
 	EXPECT_EQ(read.news.front().age, duration(std::chrono::milliseconds(1500)));
-	crashes.news.front().news = crash_news::COUNT;
+	crashes.news.front().news = crash_event::COUNT;
 	EXPECT_FALSE(decode_link_message(encode(link_message(crashes))).has_value());
 }
 
 RC_GTEST_PROP(link_codec_properties, a_damaged_message_is_read_or_refused, ()) {
 	endpoint_listing listing;
 	listing.vm = "llm-1";
-	tell_prompts_message prompts;
-	told_prompt told;
+	report_prompts_message prompts;
+	prompt_record told;
 	told.origin = 7;
 	told.prompt = { prompt_link{ 11, 100 }, prompt_link{ 12, 20 } };
 	prompts.prompts.push_back(told);
-	endpoint_reading reading;
+	endpoint_delta reading;
 	reading.written = { listing };
 	reading.dropped = { "lapsed" };
-	tell_results_message results;
+	report_results_message results;
 	results.pool = "p";
 	results.handles = { "h" };
 	results.result_bytes = { 5 };
-	hand_work_message work;
+	assign_work_message work;
 	work.inputs = { "10.0.0.1:1/a" };
-	const std::vector<link_message> messages{ make_heartbeat(), prompts, work, tell_endpoints_message{ { listing }, 5 }, tell_reading_message{ reading }, results, tell_crashes_message{ { told_crash{} }, false }, release_results_message{ "p", { "h" } }, work_ended_message{ 1, 250, { "h" } }, configuration_snapshot{ 4, 9, true, "change", "{}" }, hello_message{ "vm", 1, "n" } };
+	const std::vector<link_message> messages{ make_heartbeat(), prompts, work, report_endpoints_message{ { listing }, 5 }, report_delta_message{ reading }, results, report_crashes_message{ { reported_crash{} }, false }, release_results_message{ "p", { "h" } }, work_ended_message{ 1, 250, { "h" } }, configuration_snapshot{ 4, 9, true, "change", "{}" }, hello_message{ "vm", 1, "n" } };
 	for (const link_message &message : messages) {
 		const std::optional<link_message> read = decode_link_message(mutate(encode(message)));
 		if (read) {
--- a/tests/drivers/rollout_wire_test.cpp
+++ b/tests/drivers/rollout_wire_test.cpp
@@ -16,7 +16,7 @@
 
 version_tally make_tally(std::uint32_t p_answers) {
 	version_tally tally;
-	tally.add({ version_cell{ 7, 2, p_answers, 1 } });
+	tally.add({ answer_counts{ 7, 2, p_answers, 1 } });
 	return tally;
 }
 
@@ -24,7 +24,7 @@
 
 // Guards what a node that starts takes from others: the order's age, and the answers of windows that are closed.
 TEST(rollout_wire, ages_and_windows_come_through) {
-	told_rollout told;
+	rollout_update told;
 	told.order = rollout_order{ "llm", "v2", std::chrono::seconds(40), log_position{ 1, 5 }, false };
 	told.age = std::chrono::seconds(12);
 	told.is_age_estimated = true;
@@ -34,7 +34,7 @@
 	told.past = make_tally(100);
 	flatbuffers::FlatBufferBuilder builder;
 	builder.Finish(write_rollouts(builder, { told }));
-	const std::vector<told_rollout> read = read_rollouts(flatbuffers::GetRoot<rollout_offsets>(builder.GetBufferPointer()));
+	const std::vector<rollout_update> read = read_rollouts(flatbuffers::GetRoot<rollout_offsets>(builder.GetBufferPointer()));
 	ASSERT_EQ(read.size(), 1U);
 	EXPECT_EQ(read.front().age, told.age);
 	EXPECT_TRUE(read.front().is_age_estimated);
--- a/tests/drivers/slow_reader_test.cpp
+++ b/tests/drivers/slow_reader_test.cpp
@@ -75,12 +75,12 @@
 		hooks.on_head = [p_exchange](const http_head &) { p_exchange->start(200, {}); };
 		hooks.on_body = [this, p_exchange](std::string_view p_bytes) {
 			p_exchange->send(p_bytes);
-			_most_held = std::max(_most_held, _gateway.get_held_bytes());
+			_most_held = std::max(_most_held, _gateway.get_buffered_bytes());
 		};
 		hooks.on_end = [p_exchange](channel_end) { p_exchange->end(); };
 		const exchange_id id = _channels.start(std::move(request), std::move(hooks));
 		p_exchange->set_on_flow([this, id](bool p_may_send) { _channels.set_reading(id, p_may_send); });
-		p_exchange->set_on_gone([this, id] { _channels.cancel(id); });
+		p_exchange->set_on_disconnect([this, id] { _channels.cancel(id); });
 		_passed.push_back(p_exchange);
 	}
 
@@ -136,7 +136,7 @@
 	stuck.send_bytes("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
 	run_until([this] { return _slow_readers > 0; });
 	EXPECT_EQ(whole.get_ended().at(connection_end::STALLED), 1U);
-	run_until([&whole] { return whole.get_held_bytes() == 0; });
+	run_until([&whole] { return whole.get_buffered_bytes() == 0; });
 }
 
 } // namespace calicoscale
--- a/tests/main/gateway_fleet_test.cpp
+++ b/tests/main/gateway_fleet_test.cpp
@@ -52,7 +52,7 @@
 	wait(milliseconds(900));
 	std::size_t dispatching = 0;
 	const auto count_dispatching = [this, &dispatching] {
-		const auto is_dispatching = [](const std::unique_ptr<gateway> &p_node) { return p_node->get_handed_work() > 0; };
+		const auto is_dispatching = [](const std::unique_ptr<gateway> &p_node) { return p_node->get_accepted_work_count() > 0; };
 		dispatching = std::max(dispatching, static_cast<std::size_t>(std::count_if(_gateways.begin(), _gateways.end(), is_dispatching)));
 	};
 	// Between two turns of a busy loop all work may come and end.
@@ -176,7 +176,7 @@
 	encode.hold_stages = true;
 	const std::shared_ptr<caller_result> first = send(small, "/stream/staged/x", "key-1", "X-Segments: 1,1\r\nX-Segment-Key: k\r\n");
 	run_until([&encode] { return encode.get_held_stages() > 0; });
-	EXPECT_EQ(large.get_handed_work(), 1U) << "whatever the hash of the names says";
+	EXPECT_EQ(large.get_accepted_work_count(), 1U) << "whatever the hash of the names says";
 	_gateways.pop_back();
 	wait(milliseconds(100));
 	encode.run_held_stages();
@@ -200,7 +200,7 @@
 	run_until([this] { return std::all_of(_gateways.begin() + 2, _gateways.end(), [](const std::unique_ptr<gateway> &p_node) { return p_node->get_link_count() == 2 && p_node->get_live_count() == 7; }); });
 	for (std::size_t i = 2; i < _gateways.size(); i++) {
 		EXPECT_EQ(ask(*_gateways[i], "/stream/staged/x", "key-1", "X-Segments: 1,1\r\nX-Segment-Key: k\r\n")->body, WHOLE_STREAM);
-		EXPECT_EQ(_gateways[i]->get_handed_work(), 0U);
+		EXPECT_EQ(_gateways[i]->get_accepted_work_count(), 0U);
 	}
 	EXPECT_EQ(engine.runs.size(), 5U);
 	EXPECT_EQ(encode.stage_items.size(), 5U);
--- a/tests/main/gateway_pause_test.cpp
+++ b/tests/main/gateway_pause_test.cpp
@@ -24,7 +24,7 @@
 	std::size_t count_handed() const {
 		std::size_t count = 0;
 		for (std::size_t i = 1; i < _gateways.size(); i++) {
-			count += _gateways[i]->get_handed_work();
+			count += _gateways[i]->get_accepted_work_count();
 		}
 		return count;
 	}
--- a/tests/main/gateway_restart_test.cpp
+++ b/tests/main/gateway_restart_test.cpp
@@ -118,7 +118,7 @@
 		const std::vector<endpoint_listing> listings = follower.get_directory().get_listings();
 		return listings.empty() ? 0 : listings.front().incarnation;
 	};
-	follower.set_patient(true);
+	follower.set_has_peer_reader(true);
 	follower.start();
 	endpoint_listing listing;
 	listing.vm = replica.get_name();
@@ -129,12 +129,12 @@
 	run_until([&] { return get_start() == replica.get_born(); });
 	const std::uint64_t born = get_wall() + 1;
 	restart(replica, "llm", born);
-	endpoint_reading reading;
+	endpoint_delta reading;
 	reading.from = 1;
 	reading.to = 2;
 	reading.written = { listing };
 	reading.listed = follower.get_directory().get_listed();
-	follower.take_reading(reading, "peer");
+	follower.apply_delta(reading, "peer");
 	run_until([&] { return get_start() == born; });
 }
 
--- a/tests/main/gateway_suspension_test.cpp
+++ b/tests/main/gateway_suspension_test.cpp
@@ -36,7 +36,7 @@
 	/** All VMs are suspended, and wake. */
 	void suspend(duration p_time) {
 		suspended += p_time;
-		_loop.look_at_time();
+		_loop.run_due_timers();
 	}
 
 	void TearDown() override {
--- a/tests/main/gateway_test.cpp
+++ b/tests/main/gateway_test.cpp
@@ -202,8 +202,8 @@
 	EXPECT_EQ(ask(entry, "/stream/staged/x", "key-1", "X-Segments: 1,2\r\nX-Segment-Key: k\r\n")->body, WHOLE_STREAM);
 	EXPECT_EQ(encode.stage_items, std::vector<std::string>{ "r1.0.0" });
 	EXPECT_EQ(search.stage_items, (std::vector<std::string>{ "r1.1.0", "r1.1.1" }));
-	const std::string maker = to_string(search.get_address());
-	EXPECT_EQ(engine.runs[0].get("X-Inputs"), maker + "/1," + maker + "/2");
+	const std::string producer = to_string(search.get_address());
+	EXPECT_EQ(engine.runs[0].get("X-Inputs"), producer + "/1," + producer + "/2");
 	run_until([&encode, &search] { return encode.results.empty() && search.results.empty(); });
 }
 
--- a/tests/main/settings_test.cpp
+++ b/tests/main/settings_test.cpp
@@ -76,7 +76,7 @@
 	const gateway_settings reduced = parse_gateway_settings(replace(GATEWAY, "\"zone\"", R"("ablation": ["admission", "store_readers"], "configuration_apply_ms": 3000, "zone")"));
 	EXPECT_FALSE(reduced.mechanisms.has(mechanism::ADMISSION));
 	EXPECT_FALSE(reduced.mechanisms.has(mechanism::STORE_READERS));
-	EXPECT_TRUE(reduced.mechanisms.has(mechanism::ROOM));
+	EXPECT_TRUE(reduced.mechanisms.has(mechanism::RESULT_CAPACITY));
 	EXPECT_EQ(reduced.configuration_apply, std::chrono::seconds(3));
 	try {
 		parse_gateway_settings(replace(GATEWAY, "\"zone\"", R"("ablation": ["admision"], "zone")"));
--- a/tests/platform/platform_codec_test.cpp
+++ b/tests/platform/platform_codec_test.cpp
@@ -140,7 +140,7 @@
 	};
 	const std::map<std::string, double> numbers{ { "1", 1.0 }, { " 1.2 ", 1.2 }, { "0", 0.0 }, { "0.25", 0.25 }, { "250", 250.0 } };
 	for (const auto &[text, rate] : numbers) {
-		EXPECT_EQ(read(text).limit, limit_statement::NAMED) << text;
+		EXPECT_EQ(read(text).limit, limit_statement::ADVERTISED) << text;
 		EXPECT_DOUBLE_EQ(read(text).rate_limit, rate) << text;
 	}
 	for (const char *text : { "", "-1", "many", "1 a second", "1,5", "inf", "nan", "1e400" }) {
@@ -242,7 +242,7 @@
 	const gateway_route &route = configuration->routes[0];
 	EXPECT_GT(route.timeout, duration(std::chrono::hours(24)));
 	EXPECT_EQ(route.objective, duration::zero());
-	EXPECT_GE(route.most_endpoints, 1);
+	EXPECT_GE(route.max_endpoints, 1);
 	EXPECT_LE(route.priority, 0);
 	EXPECT_EQ(choose_service(route, 0.5), "llm2");
 	EXPECT_EQ(configuration->limits.body_bytes, 0U);
@@ -287,11 +287,11 @@
 	const std::vector<item_result> results = read_stage_answer(R"({"items":[{"handle":"10.1.64.7:8080/91"},{"reason":"gone"},{"reason":"room"},{"reason":"late"},{"reason":"new"}]})", 5);
 	ASSERT_EQ(results.size(), 5U);
 	EXPECT_EQ(results[0].handle, "10.1.64.7:8080/91");
-	EXPECT_EQ(results[1].end, item_end::INPUT_GONE);
-	EXPECT_EQ(results[2].end, item_end::NO_ROOM);
+	EXPECT_EQ(results[1].end, item_end::INPUT_LOST);
+	EXPECT_EQ(results[2].end, item_end::NO_CAPACITY);
 	EXPECT_EQ(results[3].end, item_end::LATE);
 	EXPECT_EQ(results[4].end, item_end::FAILED);
-	EXPECT_EQ(get_maker("10.1.64.7:8080/91"), (network_address{ "10.1.64.7", 8080 }));
+	EXPECT_EQ(get_producer("10.1.64.7:8080/91"), (network_address{ "10.1.64.7", 8080 }));
 }
 
 TEST(stage_codec, an_answer_that_does_not_fit_its_call_gives_nothing) {
@@ -347,8 +347,8 @@
 		head.headers = { http_header{ "X-Replica-Load", p_text } };
 		return read_endpoint_answer(head).notice.load;
 	};
-	EXPECT_EQ(read("3,1,8"), (told_load{ 3, 1, 8, 1.0 }));
-	EXPECT_EQ(read("1, 0, 1, 250"), (told_load{ 1, 0, 1, 2.5 }));
+	EXPECT_EQ(read("3,1,8"), (reported_load{ 3, 1, 8, 1.0 }));
+	EXPECT_EQ(read("1, 0, 1, 250"), (reported_load{ 1, 0, 1, 2.5 }));
 	for (const char *text : { "", "3", "3,1", "a,b,c", "-1,0,1", "1,0,1,x", "1,0,1,0", "1,0,1,-5", "99999999999999999999,0,1" }) {
 		EXPECT_FALSE(read(text)) << text;
 	}
--- a/tests/platform/store_codec_test.cpp
+++ b/tests/platform/store_codec_test.cpp
@@ -55,7 +55,7 @@
 	EXPECT_EQ(answer.status, store_status::OK);
 	EXPECT_EQ(answer.next_offset, 15U);
 	EXPECT_EQ(answer.records, (std::vector<store_record>{ { "a", "1", 10 }, { "", "", 11 }, { "", "", 12 }, { "b", std::nullopt, 13 }, { "", "2", 14 } }));
-	EXPECT_EQ(read_log_answer(410, "", 10).status, store_status::HISTORY_GONE);
+	EXPECT_EQ(read_log_answer(410, "", 10).status, store_status::HISTORY_COMPACTED);
 	for (const std::string &body : { std::string(), std::string(15, '\0'), std::string(17, '\0'), write_log({ write_record("a", "1").substr(0, 6) }) }) {
 		EXPECT_EQ(read_log_answer(200, body, 10).status, store_status::UNAVAILABLE);
 		EXPECT_TRUE(read_log_answer(200, body, 10).records.empty());
--- a/tests/servers/configuration_test.cpp
+++ b/tests/servers/configuration_test.cpp
@@ -132,7 +132,7 @@
 					_earliest = std::min<std::uint64_t>(_records.size(), _earliest + _choices.pick(4));
 					break;
 				case 7:
-					chosen.fold->take_snapshot(_nodes[_choices.pick(static_cast<std::uint32_t>(_nodes.size()))].fold->get_snapshot());
+					chosen.fold->apply_snapshot(_nodes[_choices.pick(static_cast<std::uint32_t>(_nodes.size()))].fold->get_snapshot());
 					break;
 				case 8:
 					if (_choices.one_in(3)) {
@@ -226,7 +226,7 @@
 	fold.take_read(7, { { 7, make_change("rejected elsewhere", 1) } }, 0);
 	EXPECT_EQ(fold.get_version(), 1U);
 	EXPECT_FALSE(fold.is_certain());
-	fold.take_snapshot(configuration_snapshot{ 5, 8, true, "x", "1" });
+	fold.apply_snapshot(configuration_snapshot{ 5, 8, true, "x", "1" });
 	EXPECT_TRUE(fold.is_certain());
 	EXPECT_EQ(fold.get_version(), 5U);
 }
--- a/tests/servers/fleet_overlay_test.cpp
+++ b/tests/servers/fleet_overlay_test.cpp
@@ -63,14 +63,14 @@
 				if (!is_up(node.vm)) {
 					continue;
 				}
-				const auto is_heard = [this, &before, &node](const std::string &p_vm) {
+				const auto is_responsive = [this, &before, &node](const std::string &p_vm) {
 					const auto wants = [&before](const std::string &p_from, const std::string &p_to) {
 						const auto found = before.find(p_from);
 						return found != before.end() && std::find(found->second.wanted.begin(), found->second.wanted.end(), p_to) != found->second.wanted.end();
 					};
 					return is_reached(node.vm, p_vm) && (wants(node.vm, p_vm) || wants(p_vm, node.vm));
 				};
-				plans[node.vm] = _overlays.at(node.vm).plan(_nodes, is_heard, false, at(_now));
+				plans[node.vm] = _overlays.at(node.vm).plan(_nodes, is_responsive, false, at(_now));
 			}
 		}
 	}
@@ -182,9 +182,9 @@
 TEST(fleet_overlay, nodes_rely_on_whoever_relies_on_them) {
 	fleet_overlay overlay("n1", "a");
 	const std::vector<overlay_node> nodes{ { "n0", "a", LARGE }, { "n1", "a", SMALL }, { "n2", "b", LARGE } };
-	const auto is_heard = [](const std::string &) { return true; };
-	EXPECT_FALSE(overlay.plan(nodes, is_heard, false, at(0)).is_hub);
-	const overlay_plan plan = overlay.plan(nodes, is_heard, true, at(0));
+	const auto is_responsive = [](const std::string &) { return true; };
+	EXPECT_FALSE(overlay.plan(nodes, is_responsive, false, at(0)).is_hub);
+	const overlay_plan plan = overlay.plan(nodes, is_responsive, true, at(0));
 	EXPECT_TRUE(plan.is_hub);
 	EXPECT_NE(std::find(plan.wanted.begin(), plan.wanted.end(), "n2"), plan.wanted.end()) << "a hub links to those of other zones";
 }
@@ -194,16 +194,16 @@
 	// all other dispatchers failed.
 	fleet_overlay overlay("n0", "a");
 	std::set<std::string> responsive;
-	const auto is_heard = [&responsive](const std::string &p_vm) { return responsive.contains(p_vm); };
+	const auto is_responsive = [&responsive](const std::string &p_vm) { return responsive.contains(p_vm); };
 	const std::vector<overlay_node> nodes{ { "n0", "a", LARGE }, { "n1", "a", LARGE }, { "n2", "b", LARGE }, { "n3", "c", LARGE } };
-	EXPECT_FALSE(overlay.plan(nodes, is_heard, false, at(0)).is_settled);
+	EXPECT_FALSE(overlay.plan(nodes, is_responsive, false, at(0)).is_settled);
 	responsive = { "n1", "n2" };
-	EXPECT_FALSE(overlay.plan(nodes, is_heard, false, at(200)).is_settled);
+	EXPECT_FALSE(overlay.plan(nodes, is_responsive, false, at(200)).is_settled);
 	responsive = { "n1", "n2", "n3" };
-	EXPECT_TRUE(overlay.plan(nodes, is_heard, false, at(400)).is_settled);
+	EXPECT_TRUE(overlay.plan(nodes, is_responsive, false, at(400)).is_settled);
 	responsive = { "n1", "n2" };
-	EXPECT_FALSE(overlay.plan(nodes, is_heard, false, at(600)).is_settled);
-	EXPECT_TRUE(overlay.plan(nodes, is_heard, false, at(2000)).is_settled) << "a node that is unresponsive for a second is not waited for";
+	EXPECT_FALSE(overlay.plan(nodes, is_responsive, false, at(600)).is_settled);
+	EXPECT_TRUE(overlay.plan(nodes, is_responsive, false, at(2000)).is_settled) << "a node that is unresponsive for a second is not waited for";
 }
 
 } // namespace calicoscale
--- a/tests/servers/gateway/crash_memory_test.cpp
+++ b/tests/servers/gateway/crash_memory_test.cpp
@@ -31,10 +31,10 @@
 const request_fingerprint RUN = make_run(1);
 
 crash_record make_crash(std::uint64_t p_endpoint, instant p_at) {
-	return crash_record{ crash_news::ENDED_ENDPOINT, RUN, p_endpoint, p_at };
+	return crash_record{ crash_event::CRASHED_ENDPOINT, RUN, p_endpoint, p_at };
 }
 
-crash_record make_trial(crash_news p_news, std::uint64_t p_trial, instant p_at) {
+crash_record make_trial(crash_event p_news, std::uint64_t p_trial, instant p_at) {
 	return crash_record{ p_news, RUN, p_trial, p_at };
 }
 
@@ -51,85 +51,85 @@
 
 TEST(crash_memory, three_endpoints_put_a_request_on_trial_and_the_same_one_told_again_does_not) {
 	crash_memory memory;
-	EXPECT_EQ(memory.judge(RUN, START).standing, crash_standing::FREE);
+	EXPECT_EQ(memory.judge(RUN, START).standing, crash_state::FREE);
 	EXPECT_TRUE(memory.take(make_crash(1, START), START));
 	EXPECT_FALSE(memory.take(make_crash(1, at(1)), at(1))) << "another node reports the same crash";
-	EXPECT_EQ(memory.judge(RUN, START).standing, crash_standing::SUSPECT);
+	EXPECT_EQ(memory.judge(RUN, START).standing, crash_state::SUSPECT);
 	memory.take(make_crash(2, START), START);
-	EXPECT_EQ(memory.judge(RUN, START).standing, crash_standing::SUSPECT);
+	EXPECT_EQ(memory.judge(RUN, START).standing, crash_state::SUSPECT);
 	memory.take(make_crash(3, START), START);
-	EXPECT_EQ(memory.judge(RUN, START).standing, crash_standing::ON_TRIAL);
-	EXPECT_EQ(memory.judge(make_run(8), START).standing, crash_standing::FREE) << "another request to the same target";
+	EXPECT_EQ(memory.judge(RUN, START).standing, crash_state::ON_TRIAL);
+	EXPECT_EQ(memory.judge(make_run(8), START).standing, crash_state::FREE) << "another request to the same target";
 }
 
 TEST(crash_memory, one_trial_at_a_time_and_two_in_all) {
 	crash_memory memory = make_memory_with_crashes();
-	memory.take(make_trial(crash_news::TRIAL_ASKED, 5, at(1)), at(1));
-	EXPECT_EQ(memory.judge(RUN, at(1)).standing, crash_standing::HELD_BACK);
+	memory.take(make_trial(crash_event::TRIAL_REQUESTED, 5, at(1)), at(1));
+	EXPECT_EQ(memory.judge(RUN, at(1)).standing, crash_state::BLOCKED);
 	EXPECT_LE(memory.judge(RUN, at(1)).retry_after, duration(seconds(1)));
 	EXPECT_TRUE(memory.may_send_trial(RUN, 5, at(1)));
-	memory.take(make_trial(crash_news::TRIAL_SENT, 5, at(1)), at(1));
+	memory.take(make_trial(crash_event::TRIAL_SENT, 5, at(1)), at(1));
 	EXPECT_FALSE(memory.may_send_trial(RUN, 6, at(2))) << "while the first trial is running";
 	memory.take(make_crash(4, at(2)), at(2));
-	memory.take(make_trial(crash_news::TRIAL_ENDED, 5, at(2)), at(2));
-	EXPECT_EQ(memory.judge(RUN, at(2)).standing, crash_standing::ON_TRIAL);
-	memory.take(make_trial(crash_news::TRIAL_SENT, 6, at(3)), at(3));
-	memory.take(make_trial(crash_news::TRIAL_ENDED, 6, at(4)), at(4));
+	memory.take(make_trial(crash_event::TRIAL_ENDED, 5, at(2)), at(2));
+	EXPECT_EQ(memory.judge(RUN, at(2)).standing, crash_state::ON_TRIAL);
+	memory.take(make_trial(crash_event::TRIAL_SENT, 6, at(3)), at(3));
+	memory.take(make_trial(crash_event::TRIAL_ENDED, 6, at(4)), at(4));
 	const crash_verdict verdict = memory.judge(RUN, at(4));
-	EXPECT_EQ(verdict.standing, crash_standing::HELD_BACK);
+	EXPECT_EQ(verdict.standing, crash_state::BLOCKED);
 	EXPECT_EQ(verdict.retry_after, crash_memory::LIFETIME) << "the state does not change earlier";
 	EXPECT_FALSE(memory.may_send_trial(RUN, 7, at(4)));
 }
 
 TEST(crash_memory, of_two_trials_asked_at_once_the_lower_id_is_sent) {
 	crash_memory memory = make_memory_with_crashes();
-	memory.take(make_trial(crash_news::TRIAL_ASKED, 9, at(1)), at(1));
-	memory.take(make_trial(crash_news::TRIAL_ASKED, 4, at(1)), at(1));
+	memory.take(make_trial(crash_event::TRIAL_REQUESTED, 9, at(1)), at(1));
+	memory.take(make_trial(crash_event::TRIAL_REQUESTED, 4, at(1)), at(1));
 	EXPECT_TRUE(memory.may_send_trial(RUN, 4, at(1)));
 	EXPECT_FALSE(memory.may_send_trial(RUN, 9, at(1)));
-	memory.take(make_trial(crash_news::TRIAL_DROPPED, 9, at(1)), at(1));
+	memory.take(make_trial(crash_event::TRIAL_DROPPED, 9, at(1)), at(1));
 	EXPECT_EQ(memory.judge(RUN, at(1)).trials, 0U) << "a dropped trial does not count";
 }
 
 TEST(crash_memory, a_trial_of_a_node_that_is_lost_does_not_last) {
 	crash_memory memory = make_memory_with_crashes();
-	memory.take(make_trial(crash_news::TRIAL_SENT, 5, at(1)), at(1));
-	EXPECT_EQ(memory.judge(RUN, at(10)).standing, crash_standing::HELD_BACK);
-	EXPECT_EQ(memory.judge(RUN, at(17)).standing, crash_standing::ON_TRIAL);
+	memory.take(make_trial(crash_event::TRIAL_SENT, 5, at(1)), at(1));
+	EXPECT_EQ(memory.judge(RUN, at(10)).standing, crash_state::BLOCKED);
+	EXPECT_EQ(memory.judge(RUN, at(17)).standing, crash_state::ON_TRIAL);
 	EXPECT_EQ(memory.judge(RUN, at(17)).trials, 1U) << "but the trial counts";
 }
 
 TEST(crash_memory, a_run_that_ends_well_clears_and_late_news_of_before_change_nothing) {
 	crash_memory memory = make_memory_with_crashes();
-	memory.take(make_trial(crash_news::TRIAL_SENT, 5, at(1)), at(1));
-	EXPECT_TRUE(memory.take(crash_record{ crash_news::SERVED, RUN, 0, at(2) }, at(2)));
-	EXPECT_EQ(memory.judge(RUN, at(2)).standing, crash_standing::FREE);
+	memory.take(make_trial(crash_event::TRIAL_SENT, 5, at(1)), at(1));
+	EXPECT_TRUE(memory.take(crash_record{ crash_event::SERVED, RUN, 0, at(2) }, at(2)));
+	EXPECT_EQ(memory.judge(RUN, at(2)).standing, crash_state::FREE);
 	EXPECT_FALSE(memory.take(make_crash(7, at(1)), at(3)));
-	EXPECT_EQ(memory.judge(RUN, at(3)).standing, crash_standing::FREE);
+	EXPECT_EQ(memory.judge(RUN, at(3)).standing, crash_state::FREE);
 	EXPECT_TRUE(memory.take(make_crash(8, at(4)), at(4)));
-	EXPECT_EQ(memory.judge(RUN, at(4)).standing, crash_standing::SUSPECT);
+	EXPECT_EQ(memory.judge(RUN, at(4)).standing, crash_state::SUSPECT);
 	memory.expire(at(4) + crash_memory::LIFETIME + seconds(1));
 	EXPECT_EQ(memory.get_size(), 0U);
-	EXPECT_FALSE(memory.knows_place(RUN.place));
+	EXPECT_FALSE(memory.knows_target(RUN.place));
 }
 
 TEST(crash_memory, ends_some_time_after_the_newest_crash) {
 	crash_memory memory = make_memory_with_crashes();
 	memory.expire(START + crash_memory::LIFETIME);
-	EXPECT_EQ(memory.judge(RUN, START + crash_memory::LIFETIME).standing, crash_standing::ON_TRIAL);
+	EXPECT_EQ(memory.judge(RUN, START + crash_memory::LIFETIME).standing, crash_state::ON_TRIAL);
 	memory.expire(START + crash_memory::LIFETIME + seconds(1));
-	EXPECT_EQ(memory.judge(RUN, START + crash_memory::LIFETIME + seconds(1)).standing, crash_standing::FREE);
+	EXPECT_EQ(memory.judge(RUN, START + crash_memory::LIFETIME + seconds(1)).standing, crash_state::FREE);
 	EXPECT_FALSE(memory.take(make_crash(9, START), START + crash_memory::LIFETIME + seconds(1))) << "events older than LIFETIME are ignored";
 }
 
 TEST(crash_memory, ever_new_contents_neither_fill_it_nor_wash_out_what_is_held_back) {
 	crash_memory memory = make_memory_with_crashes();
-	for (std::uint64_t number = 100; number < 100 + 3 * crash_memory::MOST_ENTRIES; number++) {
+	for (std::uint64_t number = 100; number < 100 + 3 * crash_memory::MAX_ENTRIES; number++) {
 		const instant now = START + milliseconds(number);
-		memory.take(crash_record{ crash_news::ENDED_ENDPOINT, make_run(number), number, now }, now);
+		memory.take(crash_record{ crash_event::CRASHED_ENDPOINT, make_run(number), number, now }, now);
 	}
-	EXPECT_LE(memory.get_size(), crash_memory::MOST_ENTRIES);
-	EXPECT_EQ(memory.judge(RUN, at(20)).standing, crash_standing::ON_TRIAL);
+	EXPECT_LE(memory.get_size(), crash_memory::MAX_ENTRIES);
+	EXPECT_EQ(memory.judge(RUN, at(20)).standing, crash_state::ON_TRIAL);
 	const std::vector<crash_record> records = memory.get_records(10);
 	ASSERT_EQ(records.size(), 10U);
 	EXPECT_EQ(records.front().run, RUN) << "a node that has just started first receives the requests with the most crashes";
@@ -144,7 +144,7 @@
 		if (*rc::gen::arbitrary<bool>()) {
 			news.push_back(make_crash(subject, at(static_cast<int>(subject))));
 		} else {
-			news.push_back(make_trial(*rc::gen::element(crash_news::TRIAL_ASKED, crash_news::TRIAL_SENT, crash_news::TRIAL_ENDED), subject, when));
+			news.push_back(make_trial(*rc::gen::element(crash_event::TRIAL_REQUESTED, crash_event::TRIAL_SENT, crash_event::TRIAL_ENDED), subject, when));
 		}
 	}
 	crash_memory one;
@@ -165,7 +165,7 @@
 
 TEST(crash_archive, what_is_written_is_read_by_a_node_that_started_later) {
 	crash_memory memory = make_memory_with_crashes();
-	memory.take(make_trial(crash_news::TRIAL_ENDED, 0xabcdef, at(1)), at(1));
+	memory.take(make_trial(crash_event::TRIAL_ENDED, 0xabcdef, at(1)), at(1));
 	const std::string key = write_crash_key(RUN);
 	const std::string value = write_crash_value(memory.get_records_of(RUN), moment{ at(2), 1'000'000 });
 	const instant later_start{ std::chrono::hours(9) };
--- a/tests/servers/gateway/dispatch_choice_test.cpp
+++ b/tests/servers/gateway/dispatch_choice_test.cpp
@@ -6,7 +6,7 @@
  * SPDX-License-Identifier: MIT
  */
 
-#include "servers/gateway/dispatch_choice.h"
+#include "servers/gateway/dispatcher_selection.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/servers/gateway/endpoint_address_test.cpp
+++ b/tests/servers/gateway/endpoint_address_test.cpp
@@ -43,7 +43,7 @@
 
 	void read(const std::vector<endpoint_record> &p_records) {
 		_directory.on_read(START);
-		_directory.take_records(p_records, _offset, _offset + p_records.size(), START);
+		_directory.apply_records(p_records, _offset, _offset + p_records.size(), START);
 		_offset += p_records.size();
 	}
 
--- a/tests/servers/gateway/endpoint_limits_test.cpp
+++ b/tests/servers/gateway/endpoint_limits_test.cpp
@@ -92,7 +92,7 @@
 	bool send(std::size_t p_node, const std::vector<std::size_t> &p_preferred, instant p_now) {
 		for (const std::size_t endpoint : p_preferred) {
 			const endpoint_identity identity = endpoints[endpoint].get_identity();
-			if (nodes[p_node].may_send(identity, sender_part::SHARE, p_now)) {
+			if (nodes[p_node].may_send(identity, sender_share::SHARE, p_now)) {
 				nodes[p_node].on_sent(identity, p_now);
 				arrived[identity].push_back(p_now);
 				return true;
@@ -248,7 +248,7 @@
 	cold_fleet fleet(12, 1, 1, limit_sharing::RANKS);
 	fleet.set_all_senders();
 	const endpoint_identity identity = fleet.endpoints[0].get_identity();
-	const auto may_send = [&fleet, &identity](std::size_t p_node, int p_ms) { return fleet.nodes[p_node].may_send(identity, sender_part::SHARE, at_ms(p_ms)); };
+	const auto may_send = [&fleet, &identity](std::size_t p_node, int p_ms) { return fleet.nodes[p_node].may_send(identity, sender_share::SHARE, at_ms(p_ms)); };
 	std::vector<std::size_t> without_slot;
 	for (std::size_t node = 0; node < fleet.nodes.size(); node++) {
 		if (!may_send(node, 0)) {
@@ -272,10 +272,10 @@
 	node.set_listings({ cold }, make_configuration(COLD_RATE), at_ms(0));
 	for (int ms = 0; ms < 2000; ms += 100) {
 		node.set_senders(known_senders{ { "n" }, 1, false }, at_ms(ms));
-		EXPECT_FALSE(node.may_send(cold.get_identity(), sender_part::SHARE, at_ms(ms)));
+		EXPECT_FALSE(node.may_send(cold.get_identity(), sender_share::SHARE, at_ms(ms)));
 	}
 	node.set_senders(known_senders{ { "n" }, 1, true }, at_ms(2000));
-	EXPECT_TRUE(node.may_send(cold.get_identity(), sender_part::SHARE, at_ms(2000))) << "the others have known it since it started";
+	EXPECT_TRUE(node.may_send(cold.get_identity(), sender_share::SHARE, at_ms(2000))) << "the others have known it since it started";
 }
 
 TEST(endpoint_limits, a_node_that_knows_nobody_yet_sends_nothing_to_a_cold_endpoint_and_anything_to_a_warm_one) {
@@ -283,8 +283,8 @@
 	const endpoint_listing cold = make_endpoint(0, "z0", std::chrono::seconds(3));
 	const endpoint_listing warm = make_endpoint(1, "z0", duration::zero());
 	node.set_listings({ cold, warm }, make_configuration(COLD_RATE), at_ms(0));
-	EXPECT_FALSE(node.may_send(cold.get_identity(), sender_part::SHARE, at_ms(1)));
-	EXPECT_TRUE(node.may_send(warm.get_identity(), sender_part::SHARE, at_ms(1)));
+	EXPECT_FALSE(node.may_send(cold.get_identity(), sender_share::SHARE, at_ms(1)));
+	EXPECT_TRUE(node.may_send(warm.get_identity(), sender_share::SHARE, at_ms(1)));
 }
 
 TEST(endpoint_limits, an_endpoint_is_cold_as_long_as_its_entry_said_when_it_was_told_first) {
@@ -293,11 +293,11 @@
 	const endpoint_listing cold = make_endpoint(0, "z0", std::chrono::seconds(3));
 	node.set_senders(known_senders{ { "n" }, 1 }, at_ms(LONG_BEFORE_MS));
 	node.set_listings({ cold }, configuration, at_ms(0));
-	EXPECT_TRUE(node.may_send(cold.get_identity(), sender_part::SHARE, at_ms(0)));
+	EXPECT_TRUE(node.may_send(cold.get_identity(), sender_share::SHARE, at_ms(0)));
 	node.on_sent(cold.get_identity(), at_ms(0));
-	EXPECT_FALSE(node.may_send(cold.get_identity(), sender_part::SHARE, at_ms(500)));
+	EXPECT_FALSE(node.may_send(cold.get_identity(), sender_share::SHARE, at_ms(500)));
 	node.set_listings({ cold }, configuration, at_ms(2500));
-	EXPECT_TRUE(node.may_send(cold.get_identity(), sender_part::SHARE, at_ms(1000)));
+	EXPECT_TRUE(node.may_send(cold.get_identity(), sender_share::SHARE, at_ms(1000)));
 	EXPECT_EQ(node.get_cold_count(at_ms(2999)), 1U);
 	EXPECT_EQ(node.get_cold_count(at_ms(3000)), 0U) << "the same entry read again does not restart its cold time";
 	const endpoint_listing again = make_endpoint(0, "z0", std::chrono::seconds(2));
@@ -315,9 +315,9 @@
 	EXPECT_EQ(told.get_cold_count(at_ms(799)), 1U);
 	EXPECT_EQ(told.get_cold_count(at_ms(800)), 0U);
 	endpoint_limits back("n", "z0", limit_sharing::RANKS);
-	back.on_taken_back("z1", { listing }, configuration, at_ms(0));
+	back.on_zone_restored("z1", { listing }, configuration, at_ms(0));
 	EXPECT_EQ(back.get_cold_count(at_ms(0)), 0U);
-	back.on_taken_back("z0", { listing }, configuration, at_ms(0));
+	back.on_zone_restored("z0", { listing }, configuration, at_ms(0));
 	EXPECT_EQ(back.get_cold_count(at_ms(2999)), 1U);
 }
 
@@ -326,7 +326,7 @@
 	endpoint_listing listing = make_endpoint(0, "z0", std::chrono::seconds(3));
 	listing.pool = "warm";
 	node.set_listings({ listing }, make_configuration(COLD_RATE), at_ms(0));
-	EXPECT_TRUE(node.may_send(listing.get_identity(), sender_part::SHARE, at_ms(0)));
+	EXPECT_TRUE(node.may_send(listing.get_identity(), sender_share::SHARE, at_ms(0)));
 	EXPECT_EQ(node.get_cold_count(at_ms(0)), 0U);
 }
 
@@ -341,9 +341,9 @@
 	const endpoint_listing listing = make_endpoint(0, "z1", std::chrono::seconds(3));
 	node.set_listings({ listing }, make_configuration(COLD_RATE), at_ms(0));
 	node.set_senders(known_senders{ { "n", "m" }, 2 }, at_ms(LONG_BEFORE_MS));
-	EXPECT_FALSE(node.may_send(listing.get_identity(), sender_part::SHARE, at_ms(0))) << "it is of another zone";
+	EXPECT_FALSE(node.may_send(listing.get_identity(), sender_share::SHARE, at_ms(0))) << "it is of another zone";
 	int sent = 0;
-	while (node.may_send(listing.get_identity(), sender_part::WHOLE, at_ms(10))) {
+	while (node.may_send(listing.get_identity(), sender_share::FULL, at_ms(10))) {
 		node.on_sent(listing.get_identity(), at_ms(10));
 		sent++;
 	}
--- a/tests/servers/gateway/endpoint_reading_test.cpp
+++ b/tests/servers/gateway/endpoint_reading_test.cpp
@@ -51,9 +51,9 @@
 		for (endpoint_directory *directory : { &reader, &follower, &direct_reader }) {
 			directory->on_read(at(milliseconds(now)));
 		}
-		const endpoint_reading delta = reader.take_records(records, offset, offset + records.size(), at(milliseconds(now)));
+		const endpoint_delta delta = reader.apply_records(records, offset, offset + records.size(), at(milliseconds(now)));
 		offset = delta.to;
-		follower.take_reading(delta, at(milliseconds(now)));
+		follower.apply_delta(delta, at(milliseconds(now)));
 		for (const endpoint_record &record : records) {
 			if (record.listing) {
 				direct_reader.put(*record.listing);
@@ -73,8 +73,8 @@
 	endpoint_listing listing;
 	listing.vm = "e";
 	directory.on_read(at(milliseconds(0)));
-	EXPECT_EQ(directory.take_records({ endpoint_record{ "e", listing } }, 0, 1, at(milliseconds(0))).written.size(), 1U);
-	const endpoint_reading again = directory.take_records({ endpoint_record{ "e", listing } }, 1, 2, at(milliseconds(900)));
+	EXPECT_EQ(directory.apply_records({ endpoint_record{ "e", listing } }, 0, 1, at(milliseconds(0))).written.size(), 1U);
+	const endpoint_delta again = directory.apply_records({ endpoint_record{ "e", listing } }, 1, 2, at(milliseconds(900)));
 	EXPECT_TRUE(again.written.empty());
 	EXPECT_EQ(again.to, 2U);
 }
--- a/tests/servers/gateway/endpoint_record_filter_test.cpp
+++ b/tests/servers/gateway/endpoint_record_filter_test.cpp
@@ -9,7 +9,7 @@
 #include "servers/gateway/endpoint_record_filter.h"
 
 #include "core/digest.h"
-#include "servers/gateway/rejection_notes.h"
+#include "servers/gateway/rejection_log_filter.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -60,12 +60,12 @@
 
 	void take(const std::vector<read_endpoint_record> &p_records, int p_ms) {
 		directory.on_read(at(p_ms));
-		directory.take_records(filter.take(p_records, directory.get_entries(), at(p_ms)), 0, 0, at(p_ms));
+		directory.apply_records(filter.take(p_records, directory.get_entries(), at(p_ms)), 0, 0, at(p_ms));
 	}
 
-	void take_whole(const std::vector<read_endpoint_record> &p_records, int p_ms) {
+	void apply_snapshot(const std::vector<read_endpoint_record> &p_records, int p_ms) {
 		directory.on_read(at(p_ms));
-		directory.replace(filter.take_whole(p_records, directory.get_entries(), at(p_ms)), at(p_ms));
+		directory.replace(filter.apply_snapshot(p_records, directory.get_entries(), at(p_ms)), at(p_ms));
 	}
 };
 
@@ -116,10 +116,10 @@
 TEST(endpoint_record_filter, what_a_peer_told_of_an_endpoint_ends_its_hold_and_no_other) {
 	filtered_directory list;
 	list.take({ make_valid("a"), make_faulty("a"), make_valid("b"), make_faulty("b") }, 0);
-	endpoint_reading delta;
+	endpoint_delta delta;
 	delta.written = { make_listing("a") };
 	list.filter.on_told(delta);
-	list.take_whole({ make_valid("a"), make_faulty("b") }, 1000);
+	list.apply_snapshot({ make_valid("a"), make_faulty("b") }, 1000);
 	EXPECT_TRUE(list.contains("a"));
 	EXPECT_FALSE(list.contains("b")) << "its HOLD continued while a peer read for this node";
 }
@@ -134,10 +134,10 @@
 TEST(endpoint_record_filter, a_whole_reading_holds_as_the_records_do) {
 	filtered_directory list;
 	list.take({ make_valid("a"), make_valid("b"), make_valid("c") }, 0);
-	list.take_whole({ make_faulty("a"), make_valid("b"), make_faulty("c", entry_fault::UNKNOWN_STATE), make_faulty("new") }, 1000);
+	list.apply_snapshot({ make_faulty("a"), make_valid("b"), make_faulty("c", entry_fault::UNKNOWN_STATE), make_faulty("new") }, 1000);
 	EXPECT_TRUE(list.contains("a"));
 	EXPECT_EQ(list.directory.get_size(), 2U);
-	list.take_whole({ make_faulty("a"), make_valid("b") }, 1700);
+	list.apply_snapshot({ make_faulty("a"), make_valid("b") }, 1700);
 	EXPECT_TRUE(list.contains("a"));
 	list.take({}, 1800);
 	EXPECT_FALSE(list.contains("a"));
@@ -146,13 +146,13 @@
 
 TEST(endpoint_record_filter, an_entry_without_its_start_is_used_only_where_most_tell_none) {
 	filtered_directory with_starts;
-	with_starts.take_whole({ make_valid("a"), make_valid("b"), make_valid("x", 0) }, 0);
+	with_starts.apply_snapshot({ make_valid("a"), make_valid("b"), make_valid("x", 0) }, 0);
 	with_starts.take({ make_valid("y", 0) }, 100);
 	EXPECT_FALSE(with_starts.contains("x"));
 	EXPECT_FALSE(with_starts.contains("y"));
 	EXPECT_EQ(with_starts.filter.take_rejected().back().fault, entry_fault::MISSING_START);
 	filtered_directory without_starts;
-	without_starts.take_whole({ make_valid("a", 0), make_valid("b", 0), make_valid("x") }, 0);
+	without_starts.apply_snapshot({ make_valid("a", 0), make_valid("b", 0), make_valid("x") }, 0);
 	without_starts.take({ make_valid("c", 0), make_valid("y") }, 100);
 	EXPECT_EQ(without_starts.directory.get_size(), 5U) << "one record of another writer must not exclude all others";
 }
@@ -184,25 +184,25 @@
 }
 
 TEST(rejection_notes, tell_each_key_once_and_again_when_its_fault_is_another) {
-	rejection_notes notes(at(0));
-	EXPECT_TRUE(notes.is_news("a", entry_fault::UNREADABLE, at(0)));
-	EXPECT_FALSE(notes.is_news("a", entry_fault::UNREADABLE, at(1)));
-	EXPECT_TRUE(notes.is_news("a", entry_fault::BAD_START, at(2)));
-	EXPECT_TRUE(notes.is_news("b", entry_fault::BAD_START, at(2)));
-	EXPECT_EQ(notes.take_untold(), 0U);
+	rejection_log_filter notes(at(0));
+	EXPECT_TRUE(notes.is_new("a", entry_fault::UNREADABLE, at(0)));
+	EXPECT_FALSE(notes.is_new("a", entry_fault::UNREADABLE, at(1)));
+	EXPECT_TRUE(notes.is_new("a", entry_fault::BAD_START, at(2)));
+	EXPECT_TRUE(notes.is_new("b", entry_fault::BAD_START, at(2)));
+	EXPECT_EQ(notes.take_suppressed(), 0U);
 }
 
 TEST(rejection_notes, a_flood_fills_neither_the_log_nor_the_memory) {
-	rejection_notes notes(at(0));
+	rejection_log_filter notes(at(0));
 	int lines = 0;
 	constexpr int FLOOD = 100'000;
 	constexpr int SECONDS = 10;
 	for (int i = 0; i < FLOOD; i++) {
-		lines += notes.is_news("key-" + std::to_string(i), entry_fault::UNREADABLE, at(i * SECONDS * 1000 / FLOOD)) ? 1 : 0;
+		lines += notes.is_new("key-" + std::to_string(i), entry_fault::UNREADABLE, at(i * SECONDS * 1000 / FLOOD)) ? 1 : 0;
 	}
-	EXPECT_LE(lines, rejection_notes::LINES_BURST + rejection_notes::LINES_PER_SECOND * SECONDS);
-	EXPECT_LE(notes.get_size(), rejection_notes::MOST_KEYS);
-	EXPECT_EQ(notes.take_untold(), static_cast<std::uint64_t>(FLOOD - lines));
+	EXPECT_LE(lines, rejection_log_filter::LOG_LINES_BURST + rejection_log_filter::LOG_LINES_PER_SECOND * SECONDS);
+	EXPECT_LE(notes.get_size(), rejection_log_filter::MAX_KEYS);
+	EXPECT_EQ(notes.take_suppressed(), static_cast<std::uint64_t>(FLOOD - lines));
 }
 
 } // namespace calicoscale
--- a/tests/servers/gateway/endpoint_restart_test.cpp
+++ b/tests/servers/gateway/endpoint_restart_test.cpp
@@ -60,7 +60,7 @@
 	directory.put(make_start(1, true));
 	directory.replace({ make_start(1) }, at(10));
 	EXPECT_EQ(directory.get_listings(), listings{ make_start(2) });
-	EXPECT_TRUE(directory.take_news().empty());
+	EXPECT_TRUE(directory.take_updates().empty());
 }
 
 TEST(endpoint_directory_restart, an_entry_that_went_lets_an_earlier_start_follow) {
@@ -71,8 +71,8 @@
 		each->put(make_start(2));
 	}
 	// The clock of the endpoint was set back.
-	const endpoint_reading reading = directory.take_records({ endpoint_record{ "e", std::nullopt }, endpoint_record{ "e", make_start(1) } }, 0, 2, at(10));
-	follower.take_reading(reading, at(10));
+	const endpoint_delta reading = directory.apply_records({ endpoint_record{ "e", std::nullopt }, endpoint_record{ "e", make_start(1) } }, 0, 2, at(10));
+	follower.apply_delta(reading, at(10));
 	EXPECT_EQ(directory.get_listings(), listings{ make_start(1) });
 	EXPECT_EQ(follower.get_listings(), listings{ make_start(1) });
 }
@@ -81,18 +81,18 @@
 	endpoint_directory directory;
 	directory.put(make_start(2));
 	EXPECT_FALSE(directory.mark_leaving({ "e", 1 }));
-	EXPECT_FALSE(directory.mark_gone({ "e", 1 }, at(0))) << "even though this node reads nothing itself";
+	EXPECT_FALSE(directory.mark_removed({ "e", 1 }, at(0))) << "even though this node reads nothing itself";
 	EXPECT_EQ(directory.get_listings(), listings{ make_start(2) });
-	EXPECT_TRUE(directory.take_news().empty());
+	EXPECT_TRUE(directory.take_updates().empty());
 }
 
 TEST(endpoint_directory_restart, news_told_before_a_restart_does_not_count_after_it) {
 	endpoint_directory directory;
 	directory.on_read(at(0));
 	directory.put(make_start(1));
-	EXPECT_FALSE(directory.mark_gone({ "e", 1 }, at(10))) << "this node reads the log itself";
+	EXPECT_FALSE(directory.mark_removed({ "e", 1 }, at(10))) << "this node reads the log itself";
 	directory.put(make_start(2));
-	EXPECT_TRUE(directory.drop_told(at(5000)).empty());
+	EXPECT_TRUE(directory.drop_reported_removals(at(5000)).empty());
 	EXPECT_TRUE(directory.contains_start({ "e", 2 }));
 	EXPECT_FALSE(directory.contains_start({ "e", 1 }));
 }
@@ -102,7 +102,7 @@
 	directory.put(make_start(1));
 	EXPECT_TRUE(directory.mark_leaving({ "e", 2 }));
 	EXPECT_TRUE(directory.get_listings().front().leaving);
-	EXPECT_TRUE(directory.mark_gone({ "e", 2 }, at(0)));
+	EXPECT_TRUE(directory.mark_removed({ "e", 2 }, at(0)));
 	EXPECT_EQ(directory.get_size(), 0U);
 }
 
@@ -112,7 +112,7 @@
 	directory.put(make_start(0));
 	EXPECT_EQ(directory.get_listings(), listings{ make_start(2) });
 	EXPECT_TRUE(directory.mark_leaving({ "e", 0 }));
-	EXPECT_EQ(directory.take_news(), (std::vector<endpoint_identity>{ { "e", 2 } }));
+	EXPECT_EQ(directory.take_updates(), (std::vector<endpoint_identity>{ { "e", 2 } }));
 	directory.put(make_start(3));
 	EXPECT_FALSE(directory.get_listings().front().leaving);
 }
@@ -122,7 +122,7 @@
 	endpoint_directory other;
 	one.put(make_start(1));
 	other.put(make_start(2));
-	const endpoint_reading reading = one.take_records({}, 0, 0, at(0));
+	const endpoint_delta reading = one.apply_records({}, 0, 0, at(0));
 	EXPECT_TRUE(one.is_like(reading));
 	EXPECT_FALSE(other.is_like(reading));
 	EXPECT_NE(endpoint_directory().get_listed_starts(), 0U) << "0 stands for a reader that does not support incarnations";
@@ -137,7 +137,7 @@
 	directory.put(make_start(2));
 	directory.tick(at(8100));
 	EXPECT_EQ(directory.get_listings(), listings{ make_start(2) });
-	EXPECT_TRUE(directory.take_gone().empty());
+	EXPECT_TRUE(directory.take_removed().empty());
 }
 
 TEST(engine_view_restart, an_engine_that_started_again_has_read_nothing_and_is_as_fast_as_any) {
--- a/tests/servers/gateway/endpoint_rests_test.cpp
+++ b/tests/servers/gateway/endpoint_rests_test.cpp
@@ -28,26 +28,26 @@
 
 TEST(endpoint_rests, nothing_is_sent_until_the_later_end_of_two_rests) {
 	endpoint_limits limits("n", "z", limit_sharing::RANKS);
-	limits.get_rests().add(FIRST, seconds(3), at_ms(0));
-	limits.get_rests().add(FIRST, seconds(1), at_ms(500));
-	EXPECT_FALSE(limits.may_send(FIRST, sender_part::SHARE, at_ms(2999)));
-	EXPECT_FALSE(limits.may_send(FIRST, sender_part::WHOLE, at_ms(2999)));
-	EXPECT_TRUE(limits.may_send(FIRST, sender_part::SHARE, at_ms(3000)));
-	EXPECT_TRUE(limits.may_send(SECOND, sender_part::SHARE, at_ms(0)));
-	EXPECT_TRUE(limits.may_send(endpoint_identity{ FIRST.vm, FIRST.incarnation + 1 }, sender_part::SHARE, at_ms(0))) << "a later start has not requested a back-off";
-	EXPECT_EQ(limits.get_held_back(), 2U);
+	limits.get_backoffs().add(FIRST, seconds(3), at_ms(0));
+	limits.get_backoffs().add(FIRST, seconds(1), at_ms(500));
+	EXPECT_FALSE(limits.may_send(FIRST, sender_share::SHARE, at_ms(2999)));
+	EXPECT_FALSE(limits.may_send(FIRST, sender_share::FULL, at_ms(2999)));
+	EXPECT_TRUE(limits.may_send(FIRST, sender_share::SHARE, at_ms(3000)));
+	EXPECT_TRUE(limits.may_send(SECOND, sender_share::SHARE, at_ms(0)));
+	EXPECT_TRUE(limits.may_send(endpoint_identity{ FIRST.vm, FIRST.incarnation + 1 }, sender_share::SHARE, at_ms(0))) << "a later start has not requested a back-off";
+	EXPECT_EQ(limits.get_deferred_count(), 2U);
 	limits.forget_old(at_ms(3000));
-	EXPECT_EQ(limits.get_rests().count(), 0U);
+	EXPECT_EQ(limits.get_backoffs().count(), 0U);
 	EXPECT_FALSE(limits.is_any_bounded());
 }
 
 TEST(endpoint_rests, where_all_rest_the_shortest_is_told_and_where_one_does_not_none_waits) {
 	endpoint_limits limits("n", "z", limit_sharing::RANKS);
-	limits.get_rests().add(FIRST, seconds(3), at_ms(0));
-	limits.get_rests().add(SECOND, seconds(2), at_ms(0));
+	limits.get_backoffs().add(FIRST, seconds(3), at_ms(0));
+	limits.get_backoffs().add(SECOND, seconds(2), at_ms(0));
 	const send_prospect all = limits.predict({ FIRST, SECOND }, 0, at_ms(500));
 	EXPECT_FALSE(all.wait);
-	EXPECT_EQ(all.rest_left, milliseconds(1500));
+	EXPECT_EQ(all.backoff_left, milliseconds(1500));
 	const send_prospect one = limits.predict({ FIRST, SECOND }, 0, at_ms(2000));
 	EXPECT_EQ(one.wait, duration::zero());
 }
@@ -56,13 +56,13 @@
 	endpoint_limits limits("n", "z", limit_sharing::RANKS);
 	limits.set_senders(known_senders{ { "n" }, 1 }, at_ms(-5000));
 	endpoint_notice named;
-	named.limit = limit_statement::NAMED;
+	named.limit = limit_statement::ADVERTISED;
 	named.rate_limit = 2.0;
-	limits.get_named().on_answer(FIRST, named, true, at_ms(-100), at_ms(0));
-	EXPECT_TRUE(limits.may_send(FIRST, sender_part::SHARE, at_ms(0)));
-	limits.get_rests().add(FIRST, seconds(1), at_ms(0));
+	limits.get_advertised().on_answer(FIRST, named, true, at_ms(-100), at_ms(0));
+	EXPECT_TRUE(limits.may_send(FIRST, sender_share::SHARE, at_ms(0)));
+	limits.get_backoffs().add(FIRST, seconds(1), at_ms(0));
 	EXPECT_FALSE(limits.predict({ FIRST }, 0, at_ms(0)).wait);
-	EXPECT_TRUE(limits.may_send(FIRST, sender_part::SHARE, at_ms(1000)));
+	EXPECT_TRUE(limits.may_send(FIRST, sender_share::SHARE, at_ms(1000)));
 }
 
 } // namespace calicoscale
--- a/tests/servers/gateway/event_splitter_test.cpp
+++ b/tests/servers/gateway/event_splitter_test.cpp
@@ -84,7 +84,7 @@
 	RC_ASSERT(splitter.get_last_id() == expected.last_id);
 	RC_ASSERT(splitter.get_event_count() == expected.events);
 	if (!expected.is_inside) {
-		RC_ASSERT(out + splitter.take_rest() == stream);
+		RC_ASSERT(out + splitter.take_remainder() == stream);
 	}
 }
 
@@ -123,13 +123,13 @@
 		const std::string part(30, 'x');
 		sent += part;
 		out += splitter.take(part);
-		EXPECT_LE(splitter.get_held_bytes(), 100U);
+		EXPECT_LE(splitter.get_buffered_bytes(), 100U);
 	}
 	EXPECT_TRUE(splitter.is_inside_event());
-	EXPECT_TRUE(splitter.has_handed_part());
+	EXPECT_TRUE(splitter.has_returned_part());
 	out += splitter.take("\n\nid: 3\n\n");
 	EXPECT_EQ(out, sent + "\n\nid: 3\n\n");
-	EXPECT_FALSE(splitter.has_handed_part());
+	EXPECT_FALSE(splitter.has_returned_part());
 	EXPECT_FALSE(splitter.is_inside_event());
 	EXPECT_EQ(splitter.get_last_id(), "3");
 }
--- a/tests/servers/gateway/gateway_state_test.cpp
+++ b/tests/servers/gateway/gateway_state_test.cpp
@@ -112,11 +112,11 @@
 	stage_graph graph = make_chain();
 	graph.take_ready();
 	graph.set_done(0, { "x/1" });
-	EXPECT_TRUE(graph.take_spent(0).empty()) << "the next stage still reads it";
+	EXPECT_TRUE(graph.take_unneeded(0).empty()) << "the next stage still reads it";
 	graph.set_done(1, { "y/1", "y/2" });
-	EXPECT_EQ(graph.take_spent(0), std::vector<std::string>{ "x/1" });
-	EXPECT_TRUE(graph.take_spent(0).empty());
-	EXPECT_TRUE(graph.take_spent(1).empty()) << "the service still reads it";
+	EXPECT_EQ(graph.take_unneeded(0), std::vector<std::string>{ "x/1" });
+	EXPECT_TRUE(graph.take_unneeded(0).empty());
+	EXPECT_TRUE(graph.take_unneeded(1).empty()) << "the service still reads it";
 	EXPECT_EQ(graph.take_all(1).size(), 2U);
 	EXPECT_TRUE(graph.take_all(1).empty());
 	EXPECT_TRUE(graph.take_all(0).empty());
@@ -166,7 +166,7 @@
 	EXPECT_EQ(splitter.take("id: 5\ndata: b\n\n"), "id: 5\ndata: b\n\n");
 	EXPECT_EQ(splitter.get_last_id(), "5");
 	splitter.take("tail");
-	EXPECT_EQ(splitter.take_rest(), "tail");
+	EXPECT_EQ(splitter.take_remainder(), "tail");
 }
 
 RC_GTEST_PROP(retry_window, all_nodes_together_stay_within_the_bounds_in_any_window, ()) {
@@ -207,7 +207,7 @@
 	directory.put(make_endpoint("e1"));
 	EXPECT_TRUE(directory.take_changed());
 	directory.put(make_endpoint("e1", true));
-	EXPECT_EQ(directory.take_news(), (std::vector<endpoint_identity>{ { "e1", 0 } }));
+	EXPECT_EQ(directory.take_updates(), (std::vector<endpoint_identity>{ { "e1", 0 } }));
 	directory.put(make_endpoint("e1"));
 	EXPECT_TRUE(is_leaving(directory, "e1")) << "an older record that is read again does not undo it";
 	directory.drop("e1", at(milliseconds(10)));
@@ -245,34 +245,34 @@
 	for (const char *name : { "back", "lost", "told_before" }) {
 		directory.put(make_endpoint(name));
 	}
-	EXPECT_TRUE(directory.mark_gone({ "told_before", 0 }, at(milliseconds(5900)))) << "this node's own last read is old";
+	EXPECT_TRUE(directory.mark_removed({ "told_before", 0 }, at(milliseconds(5900)))) << "this node's own last read is old";
 	directory.on_read(at(milliseconds(6000)));
 	directory.drop("back", at(milliseconds(6000)));
 	directory.drop("lost", at(milliseconds(6000)));
 	EXPECT_EQ(directory.get_drop_time(), at(milliseconds(8000)));
-	EXPECT_TRUE(directory.mark_gone({ "lost", 0 }, at(milliseconds(6200))));
-	EXPECT_FALSE(directory.mark_gone({ "unknown", 0 }, at(milliseconds(6200))));
+	EXPECT_TRUE(directory.mark_removed({ "lost", 0 }, at(milliseconds(6200))));
+	EXPECT_FALSE(directory.mark_removed({ "unknown", 0 }, at(milliseconds(6200))));
 	directory.put(make_endpoint("back"));
 	EXPECT_EQ(directory.get_drop_time(), std::nullopt);
-	EXPECT_FALSE(directory.mark_gone({ "back", 0 }, at(milliseconds(6300)))) << "its entry has just been read";
-	EXPECT_TRUE(directory.drop_told(at(milliseconds(6400))).empty());
+	EXPECT_FALSE(directory.mark_removed({ "back", 0 }, at(milliseconds(6300)))) << "its entry has just been read";
+	EXPECT_TRUE(directory.drop_reported_removals(at(milliseconds(6400))).empty());
 	ASSERT_EQ(directory.get_size(), 1U);
 	EXPECT_EQ(directory.get_listings().front().vm, "back");
-	EXPECT_EQ(directory.take_gone(), (std::vector<endpoint_identity>{ { "told_before", 0 }, { "lost", 0 } }));
+	EXPECT_EQ(directory.take_removed(), (std::vector<endpoint_identity>{ { "told_before", 0 }, { "lost", 0 } }));
 }
 
 TEST(endpoint_directory, what_a_peer_told_once_counts_when_this_node_stops_reading_and_not_when_it_reads_on) {
 	endpoint_directory directory;
 	directory.on_read(at(milliseconds(0)));
 	directory.put(make_endpoint("e"));
-	EXPECT_FALSE(directory.mark_gone({ "e", 0 }, at(milliseconds(100)))) << "this node reads the log itself";
-	EXPECT_TRUE(directory.drop_told(at(milliseconds(1400))).empty());
+	EXPECT_FALSE(directory.mark_removed({ "e", 0 }, at(milliseconds(100)))) << "this node reads the log itself";
+	EXPECT_TRUE(directory.drop_reported_removals(at(milliseconds(1400))).empty());
 	directory.on_read(at(milliseconds(1000)));
 	directory.on_read(at(milliseconds(2000)));
-	EXPECT_TRUE(directory.drop_told(at(milliseconds(6000))).empty()) << "two reads have shown that the entry exists";
+	EXPECT_TRUE(directory.drop_reported_removals(at(milliseconds(6000))).empty()) << "two reads have shown that the entry exists";
 	directory.on_read(at(milliseconds(6100)));
-	EXPECT_FALSE(directory.mark_gone({ "e", 0 }, at(milliseconds(6200))));
-	EXPECT_EQ(directory.drop_told(at(milliseconds(7700))), (std::vector<endpoint_identity>{ { "e", 0 } }));
+	EXPECT_FALSE(directory.mark_removed({ "e", 0 }, at(milliseconds(6200))));
+	EXPECT_EQ(directory.drop_reported_removals(at(milliseconds(7700))), (std::vector<endpoint_identity>{ { "e", 0 } }));
 	EXPECT_EQ(directory.get_size(), 0U);
 }
 
@@ -341,7 +341,7 @@
 	commitment_table table;
 	table.set_capacity("search", 1.0);
 	table.add("search", LEAST_URGENT, seconds(2));
-	table.take_peer("n2", { pool_commitment{ "search", LEAST_URGENT, seconds(3) } });
+	table.set_peer("n2", { pool_commitment{ "search", LEAST_URGENT, seconds(3) } });
 	EXPECT_EQ(table.get_drain_time("search", 9), duration::zero());
 	EXPECT_EQ(table.get_drain_time("search", LEAST_URGENT), duration(seconds(5)));
 	EXPECT_EQ(table.get_own().front().priority, LEAST_URGENT) << "it is reported to peers";
@@ -357,16 +357,16 @@
 	hub.add("search", 1, seconds(1));
 	other_hub.add("search", 1, seconds(2));
 	follower.add("search", 1, seconds(4));
-	hub.take_follower("follower", follower.get_own());
-	other_hub.take_peer("hub", hub.get_subtree());
-	hub.take_peer("other_hub", other_hub.get_subtree());
-	follower.take_total(hub.get_total(), follower.get_own());
+	hub.set_follower("follower", follower.get_own());
+	other_hub.set_peer("hub", hub.get_subtree());
+	hub.set_peer("other_hub", other_hub.get_subtree());
+	follower.set_total(hub.get_total(), follower.get_own());
 	for (const commitment_table *table : { &hub, &other_hub, &follower }) {
 		EXPECT_EQ(table->get_drain_time("search", 1), duration(seconds(7)));
 	}
 	follower.add("search", 1, seconds(1));
 	EXPECT_EQ(follower.get_drain_time("search", 1), duration(seconds(8))) << "its own newest work counts immediately, and only once";
-	hub.forget_peer("follower");
+	hub.remove_peer("follower");
 	EXPECT_EQ(hub.get_drain_time("search", 1), duration(seconds(3)));
 	EXPECT_EQ(hub.get_subtree().front().work, duration(seconds(1)));
 }
@@ -374,13 +374,13 @@
 TEST(commitment_table, a_node_that_becomes_a_hub_counts_nothing_twice) {
 	commitment_table table;
 	table.set_capacity("search", 1.0);
-	table.take_total({ pool_commitment{ "search", 1, seconds(5) } }, {});
-	table.take_peer("n2", { pool_commitment{ "search", 1, seconds(3) } });
+	table.set_total({ pool_commitment{ "search", 1, seconds(5) } }, {});
+	table.set_peer("n2", { pool_commitment{ "search", 1, seconds(3) } });
 	EXPECT_EQ(table.get_drain_time("search", 1), duration(seconds(5))) << "not all other hubs have reported yet";
-	table.take_peer("n3", { pool_commitment{ "search", 1, seconds(2) } });
-	table.forget_total();
+	table.set_peer("n3", { pool_commitment{ "search", 1, seconds(2) } });
+	table.clear_total();
 	EXPECT_EQ(table.get_drain_time("search", 1), duration(seconds(5)));
-	table.take_total({ pool_commitment{ "search", 1, seconds(5) } }, {});
+	table.set_total({ pool_commitment{ "search", 1, seconds(5) } }, {});
 	EXPECT_EQ(table.get_drain_time("search", 1), duration(seconds(5))) << "the same holds for a node that stops being a hub";
 }
 
@@ -388,9 +388,9 @@
 	gateway_configuration configuration = make_pools();
 	gateway_route &route = configuration.routes[0];
 	route.stages = { stage_spec{ "encode", {}, 10 }, stage_spec{ "search", { 0 }, 10 }, stage_spec{ "search", { 1 }, 10 }, stage_spec{ "encode", { 0 }, 10 }, stage_spec{ "elsewhere", { 2 }, 10 } };
-	const std::vector<duration> after = get_times_after(configuration, route, { 1, 5, 8, 1, 1 });
+	const std::vector<duration> after = get_remaining_stage_times(configuration, route, { 1, 5, 8, 1, 1 });
 	EXPECT_EQ(after, (std::vector<duration>{ milliseconds(330), milliseconds(180), duration::zero(), duration::zero(), duration::zero() }));
-	EXPECT_EQ(get_times_after(configuration, route, { 1, 5 }).front(), duration(milliseconds(150))) << "stages without items take no time";
+	EXPECT_EQ(get_remaining_stage_times(configuration, route, { 1, 5 }).front(), duration(milliseconds(150))) << "stages without items take no time";
 }
 
 TEST(stage_transfers, each_piece_reads_all_its_inputs_and_the_service_the_final_results) {
@@ -399,25 +399,25 @@
 	stages.set_done(0, { "a/1", "a/2", "b/3" });
 	stages.set_done(1, { "a/4", "c/5" });
 	const stage_transfers transfers(stages, [](const std::string &p_handle) { return p_handle.substr(0, 1); });
-	EXPECT_EQ(transfers.find_makers_zone({ "a/1", "a/2", "b/3" }), "a");
-	EXPECT_EQ(transfers.find_makers_zone({}), "");
+	EXPECT_EQ(transfers.find_producers_zone({ "a/1", "a/2", "b/3" }), "a");
+	EXPECT_EQ(transfers.find_producers_zone({}), "");
 	const std::vector<result_transfer> inputs = transfers.get_inputs_read(1);
 	ASSERT_EQ(inputs.size(), 4U);
 	EXPECT_EQ(inputs[0].bytes, 20U) << "two results of ten bytes, read by one item in the same zone";
-	EXPECT_EQ(get_crossed_bytes(inputs), 40U);
-	EXPECT_EQ(get_crossed_bytes(transfers.get_final_read("llm", "c")), 10U);
+	EXPECT_EQ(get_cross_zone_bytes(inputs), 40U);
+	EXPECT_EQ(get_cross_zone_bytes(transfers.get_final_read("llm", "c")), 10U);
 	EXPECT_TRUE(transfers.get_inputs_read(0).empty());
 }
 
 TEST(commitment_table, counts_peers_until_they_are_forgotten) {
 	commitment_table table;
 	table.set_capacity("search", 1.0);
-	table.take_peer("n2", { pool_commitment{ "search", 0, milliseconds(400) } });
-	table.take_peer("n2", { pool_commitment{ "search", 0, milliseconds(300) } });
-	table.take_peer("n3", { pool_commitment{ "search", 2, milliseconds(200) } });
+	table.set_peer("n2", { pool_commitment{ "search", 0, milliseconds(400) } });
+	table.set_peer("n2", { pool_commitment{ "search", 0, milliseconds(300) } });
+	table.set_peer("n3", { pool_commitment{ "search", 2, milliseconds(200) } });
 	EXPECT_EQ(table.get_drain_time("search", 2), duration(milliseconds(500)));
 	EXPECT_EQ(table.get_drain_time("search", 1), duration(milliseconds(300)));
-	table.forget_peer("n2");
+	table.remove_peer("n2");
 	EXPECT_EQ(table.get_drain_time("search", 2), duration(milliseconds(200)));
 	EXPECT_TRUE(table.get_own().empty());
 	EXPECT_EQ(table.get_drain_time("other", 2), duration::zero());
--- a/tests/servers/gateway/lost_runs_test.cpp
+++ b/tests/servers/gateway/lost_runs_test.cpp
@@ -6,7 +6,7 @@
  * SPDX-License-Identifier: MIT
  */
 
-#include "servers/gateway/lost_runs.h"
+#include "servers/gateway/interrupted_runs.h"
 
 #include <gtest/gtest.h>
 
@@ -45,7 +45,7 @@
 }
 
 TEST(lost_runs_test, runs_are_blamed_when_nobody_listens_any_more) {
-	lost_runs lost;
+	interrupted_runs lost;
 	EXPECT_TRUE(lost.add(ENGINE, make_run(1), START));
 	EXPECT_FALSE(lost.add(ENGINE, make_run(2), START)) << "a probe is running already";
 	EXPECT_EQ(lost.on_probed(ENGINE, probe_end::REFUSED), (std::vector<request_fingerprint>{ make_run(1), make_run(2) }));
@@ -53,25 +53,25 @@
 }
 
 TEST(lost_runs_test, a_connection_that_ends_alone_blames_nobody) {
-	lost_runs lost;
+	interrupted_runs lost;
 	lost.add(ENGINE, make_run(1), START);
 	EXPECT_TRUE(lost.on_probed(ENGINE, probe_end::ACCEPTED).empty());
 	EXPECT_TRUE(lost.take_ended(is_not_listed, START).empty()) << "an entry that is removed later has another cause";
 }
 
 TEST(lost_runs_test, where_nothing_comes_back_the_entry_tells) {
-	lost_runs lost;
+	interrupted_runs lost;
 	lost.add(ENGINE, make_run(1), START);
 	EXPECT_TRUE(lost.on_probed(ENGINE, probe_end::SILENT).empty());
 	EXPECT_TRUE(lost.take_ended(is_listed, START + seconds(2)).empty());
-	const std::vector<ended_endpoint> ended = lost.take_ended(is_not_listed, START + seconds(3));
+	const std::vector<crashed_endpoint> ended = lost.take_ended(is_not_listed, START + seconds(3));
 	ASSERT_EQ(ended.size(), 1U);
 	EXPECT_EQ(ended.front().endpoint, ENGINE);
 	EXPECT_EQ(ended.front().lost_at, START);
 }
 
 TEST(lost_runs_test, a_path_that_stays_cut_blames_nobody) {
-	lost_runs lost;
+	interrupted_runs lost;
 	lost.add(ENGINE, make_run(1), START);
 	lost.on_probed(ENGINE, probe_end::SILENT);
 	EXPECT_TRUE(lost.take_ended(is_listed, START + seconds(7)).empty());
--- a/tests/servers/gateway/named_limits_test.cpp
+++ b/tests/servers/gateway/named_limits_test.cpp
@@ -8,7 +8,7 @@
 
 #include "core/random_source.h"
 #include "servers/gateway/endpoint_limits.h"
-#include "servers/gateway/waiting_line.h"
+#include "servers/gateway/service_queue.h"
 
 #include <gtest/gtest.h>
 
@@ -40,7 +40,7 @@
 
 endpoint_notice make_limit_notice(double p_rate) {
 	endpoint_notice notice;
-	notice.limit = limit_statement::NAMED;
+	notice.limit = limit_statement::ADVERTISED;
 	notice.rate_limit = p_rate;
 	return notice;
 }
@@ -109,19 +109,19 @@
 				continue;
 			}
 			const endpoint_notice notice = received.rate ? make_limit_notice(*received.rate) : endpoint_notice();
-			named_limits &limits = nodes[received.node].get_named();
+			advertised_limits &limits = nodes[received.node].get_advertised();
 			limits.on_answer(ENDPOINT, notice, true, at_ms(received.sent_ms), at_ms(p_ms));
 			if (received.rate) {
 				nodes_with_answer.insert(received.node);
 			}
-			for (const limit_record &record : limits.take_news()) {
+			for (const limit_record &record : limits.take_updates()) {
 				pending_reports.emplace(p_ms + REPORT_MS, report{ received.node, record });
 			}
 		}
 		for (auto next = pending_reports.begin(); next != pending_reports.end() && next->first <= p_ms; next = pending_reports.erase(next)) {
 			for (std::size_t node = 0; node < nodes.size(); node++) {
 				if (node != next->second.from && is_up[node] && receives_from(next->second.from, node)) {
-					nodes[node].get_named().take(next->second.record, at_ms(p_ms));
+					nodes[node].get_advertised().take(next->second.record, at_ms(p_ms));
 				}
 			}
 		}
@@ -142,7 +142,7 @@
 	}
 
 	void send(std::size_t p_node, int p_ms) {
-		if (!is_up[p_node] || !nodes[p_node].may_send(ENDPOINT, sender_part::SHARE, at_ms(p_ms))) {
+		if (!is_up[p_node] || !nodes[p_node].may_send(ENDPOINT, sender_share::SHARE, at_ms(p_ms))) {
 			return;
 		}
 		nodes[p_node].on_sent(ENDPOINT, at_ms(p_ms));
@@ -171,7 +171,7 @@
 	}
 
 	std::size_t count_nodes_with_limit() const {
-		return static_cast<std::size_t>(std::count_if(nodes.begin(), nodes.end(), [](const endpoint_limits &p_node) { return p_node.get_named().find_rate(ENDPOINT).has_value(); }));
+		return static_cast<std::size_t>(std::count_if(nodes.begin(), nodes.end(), [](const endpoint_limits &p_node) { return p_node.get_advertised().find_rate(ENDPOINT).has_value(); }));
 	}
 };
 
@@ -255,25 +255,25 @@
 }
 
 TEST(named_limits, a_late_answer_of_before_neither_ends_a_limit_nor_does_older_news_bring_one_back) {
-	named_limits limits("n");
-	EXPECT_EQ(limits.on_answer(ENDPOINT, make_limit_notice(1.0), true, at_ms(0), at_ms(100)), limit_change::NAMED);
+	advertised_limits limits("n");
+	EXPECT_EQ(limits.on_answer(ENDPOINT, make_limit_notice(1.0), true, at_ms(0), at_ms(100)), limit_change::ADVERTISED);
 	EXPECT_EQ(limits.on_answer(ENDPOINT, endpoint_notice(), true, at_ms(50), at_ms(300)), limit_change::NONE) << "its request was sent before the limit was advertised";
 	EXPECT_EQ(limits.on_answer(ENDPOINT, endpoint_notice(), false, at_ms(200), at_ms(300)), limit_change::NONE) << "it may not come from the endpoint itself";
 	EXPECT_EQ(limits.on_answer(ENDPOINT, endpoint_notice(), true, at_ms(200), at_ms(400)), limit_change::ENDED);
 	EXPECT_EQ(limits.take(limit_record{ ENDPOINT, 1.0, at_ms(350) }, at_ms(500)), limit_change::NONE);
 	EXPECT_EQ(limits.find_rate(ENDPOINT), std::nullopt);
-	EXPECT_EQ(limits.take(limit_record{ ENDPOINT, 2.0, at_ms(450) }, at_ms(500)), limit_change::NAMED);
+	EXPECT_EQ(limits.take(limit_record{ ENDPOINT, 2.0, at_ms(450) }, at_ms(500)), limit_change::ADVERTISED);
 	EXPECT_EQ(limits.find_rate(ENDPOINT), 2.0);
 }
 
 TEST(named_limits, another_start_of_an_endpoint_is_not_bound_by_what_the_earlier_one_named) {
-	named_limits limits("n");
+	advertised_limits limits("n");
 	limits.on_answer(ENDPOINT, make_limit_notice(1.0), true, at_ms(0), at_ms(100));
 	EXPECT_EQ(limits.find_rate(endpoint_identity{ ENDPOINT.vm, ENDPOINT.incarnation + 1 }), std::nullopt);
 }
 
 TEST(named_limits, an_unreadable_limit_changes_nothing) {
-	named_limits limits("n");
+	advertised_limits limits("n");
 	endpoint_notice unreadable;
 	unreadable.limit = limit_statement::UNREADABLE;
 	EXPECT_EQ(limits.on_answer(ENDPOINT, unreadable, true, at_ms(0), at_ms(100)), limit_change::NONE);
@@ -283,11 +283,11 @@
 }
 
 TEST(named_limits, what_is_told_of_one_limit_is_bounded_however_often_it_is_named_anew) {
-	named_limits limits("n");
+	advertised_limits limits("n");
 	std::size_t reports = 0;
 	for (int ms = 0; ms < 20000; ms += 10) {
 		limits.on_answer(ENDPOINT, make_limit_notice(1.0 + ms % 7), true, at_ms(ms), at_ms(ms + 5));
-		reports += limits.take_news().size();
+		reports += limits.take_updates().size();
 	}
 	EXPECT_LE(reports, 41U) << "one every half second";
 	EXPECT_GE(reports, 20U);
@@ -303,9 +303,9 @@
 	EXPECT_EQ(node.predict({ ENDPOINT }, 0, at_ms(200)).wait, std::chrono::seconds(1));
 	EXPECT_EQ(node.predict({ ENDPOINT }, 3, at_ms(200)).wait, std::chrono::seconds(2));
 	EXPECT_EQ(node.predict({ ENDPOINT, endpoint_identity{ "free", 1 } }, 3, at_ms(200)).wait, duration::zero());
-	waiting_line queue;
-	const line_place first = queue.join(POOL);
-	const line_place second = queue.join(POOL);
+	service_queue queue;
+	const queue_position first = queue.join(POOL);
+	const queue_position second = queue.join(POOL);
 	EXPECT_EQ(queue.count_before(POOL, second), 1U);
 	queue.leave(POOL, first);
 	queue.leave(POOL, first);
--- a/tests/servers/gateway/news_digest_test.cpp
+++ b/tests/servers/gateway/news_digest_test.cpp
@@ -6,7 +6,7 @@
  * SPDX-License-Identifier: MIT
  */
 
-#include "servers/gateway/told_prompt.h"
+#include "servers/gateway/prompt_record.h"
 
 #include <gtest/gtest.h>
 
@@ -20,13 +20,13 @@
 	return instant(std::chrono::seconds(1000) + milliseconds(p_milliseconds));
 }
 
-told_prompt make_prompt(std::uint64_t p_tokens) {
-	return told_prompt{ get_origin_code("n"), { "e", 1 }, { prompt_link{ p_tokens, p_tokens } } };
+prompt_record make_prompt(std::uint64_t p_tokens) {
+	return prompt_record{ get_origin_code("n"), { "e", 1 }, { prompt_link{ p_tokens, p_tokens } } };
 }
 
 /** Returns the number of messages that a node sends at once in ten seconds, at a rate of prompts and a number of receivers. */
 std::size_t count_at_once(int p_prompts_per_second, std::size_t p_receivers) {
-	news_digest<told_prompt> digest = make_prompt_digest();
+	update_batch<prompt_record> digest = make_prompt_digest();
 	std::size_t sent = 0;
 	for (int i = 0; i < p_prompts_per_second * 10; i++) {
 		digest.add(make_prompt(1));
@@ -50,14 +50,14 @@
 }
 
 TEST(news_digest, what_a_heartbeat_cannot_carry_is_dropped_the_shortest_first) {
-	news_digest<told_prompt> digest = make_prompt_digest();
+	update_batch<prompt_record> digest = make_prompt_digest();
 	for (std::uint64_t tokens = 1; tokens <= 1000; tokens++) {
 		digest.add(make_prompt(tokens));
 	}
-	const std::vector<told_prompt> batch = digest.take();
+	const std::vector<prompt_record> batch = digest.take();
 	ASSERT_EQ(batch.size() + digest.get_dropped(), 1000U);
 	EXPECT_LE(batch.size(), 140U);
-	for (const told_prompt &prompt : batch) {
+	for (const prompt_record &prompt : batch) {
 		EXPECT_GT(prompt.prompt.front().tokens, digest.get_dropped());
 	}
 	EXPECT_TRUE(digest.is_empty());
--- a/tests/servers/gateway/read_schedule_test.cpp
+++ b/tests/servers/gateway/read_schedule_test.cpp
@@ -125,7 +125,7 @@
 	times.longest_retry = milliseconds(1000);
 	const auto count_in_an_outage = [&times](bool p_has_peer_reader) {
 		read_schedule schedule(times);
-		schedule.set_patient(p_has_peer_reader);
+		schedule.set_has_peer_reader(p_has_peer_reader);
 		int calls = 0;
 		for (duration passed = duration::zero(); passed < milliseconds(6500); passed += schedule.get_retry()) {
 			schedule.on_failed(schedule.begin().reading);
@@ -153,7 +153,7 @@
 		int calls = 0;
 		for (int i = 0; i < NODES; i++) {
 			read_schedule schedule(p_times);
-			schedule.set_patient(p_has_peer_reader);
+			schedule.set_has_peer_reader(p_has_peer_reader);
 			const silent_reads reads = simulate_silence(schedule, milliseconds(9000));
 			calls += reads.calls;
 			const duration max_pause = std::max(p_times.wait + p_times.overdue, p_times.longest_retry);
@@ -171,7 +171,7 @@
 	const read_times times{ duration::zero(), milliseconds(400), milliseconds(400), milliseconds(300), milliseconds(1000) };
 	for (const bool is_abandoned : { false, true }) {
 		read_schedule schedule(times);
-		schedule.set_patient(true);
+		schedule.set_has_peer_reader(true);
 		simulate_silence(schedule, milliseconds(6000));
 		EXPECT_EQ(schedule.get_repeat(), duration(milliseconds(1000)));
 		if (is_abandoned) {
@@ -189,11 +189,11 @@
 	times.first_wait = milliseconds(1500);
 	read_schedule schedule(times);
 	EXPECT_EQ(schedule.get_first_wait(milliseconds(100)), duration::zero()) << "no peer reads for it";
-	schedule.set_patient(true);
+	schedule.set_has_peer_reader(true);
 	EXPECT_EQ(schedule.get_first_wait(milliseconds(100)), duration(milliseconds(1400)));
 	EXPECT_EQ(schedule.get_first_wait(milliseconds(1500)), duration::zero());
 	EXPECT_EQ(schedule.get_first_wait(milliseconds(9000)), duration::zero());
-	schedule.set_patient(false);
+	schedule.set_has_peer_reader(false);
 	EXPECT_EQ(schedule.get_first_wait(milliseconds(100)), duration::zero()) << "it reads for the others now";
 }
 
--- a/tests/servers/gateway/regions_test.cpp
+++ b/tests/servers/gateway/regions_test.cpp
@@ -40,11 +40,11 @@
 
 TEST(regions, large_results_stay_in_their_region_while_it_has_capacity) {
 	stage_pool pool;
-	pool.set_spec(stage_pool_spec{ .slots = 1, .batch = 4, .call_time = milliseconds(150), .piece_time = milliseconds(10), .room_bytes = 1e9, .result_ttl = seconds(4) });
+	pool.set_spec(stage_pool_spec{ .slots = 1, .batch = 4, .call_time = milliseconds(150), .piece_time = milliseconds(10), .capacity_bytes = 1e9, .result_ttl = seconds(4) });
 	pool.set_regions(REGIONS);
 	pool.set_replicas({ make_replica("near", "a2"), make_replica("far", "b1") });
 	// The near replica is slower, but by less than the penalty for the other region.
-	pool.on_pace_told(endpoint_identity{ "near", 0 }, 1.9, START);
+	pool.on_load_reported(endpoint_identity{ "near", 0 }, 1.9, START);
 	stage_work work;
 	work.attempt = "r";
 	work.pieces = 1;
--- a/tests/servers/gateway/result_room_test.cpp
+++ b/tests/servers/gateway/result_room_test.cpp
@@ -7,7 +7,7 @@
  */
 
 #include "servers/gateway/pool_meter.h"
-#include "servers/gateway/result_room.h"
+#include "servers/gateway/result_capacity.h"
 
 #include <gtest/gtest.h>
 
@@ -22,8 +22,8 @@
 	return instant(seconds(1000) + milliseconds(p_ms));
 }
 
-result_room make_capacity() {
-	result_room capacity;
+result_capacity make_capacity() {
+	result_capacity capacity;
 	capacity.set_bounds(100.0, seconds(4));
 	return capacity;
 }
@@ -31,30 +31,30 @@
 } // namespace
 
 TEST(result_room, known_results_take_room_until_they_are_released_or_expire) {
-	result_room capacity = make_capacity();
-	EXPECT_TRUE(capacity.has_room({ "r", 1 }, 100.0, at(0)));
-	EXPECT_FALSE(capacity.has_room({ "r", 1 }, 101.0, at(0)));
+	result_capacity capacity = make_capacity();
+	EXPECT_TRUE(capacity.has_capacity({ "r", 1 }, 100.0, at(0)));
+	EXPECT_FALSE(capacity.has_capacity({ "r", 1 }, 101.0, at(0)));
 	capacity.keep("one", { "r", 1 }, 60.0, "", at(0));
 	capacity.keep("one", { "r", 1 }, 60.0, "", at(0));
 	EXPECT_EQ(capacity.get_used({ "r", 1 }), 60.0) << "a result is counted once";
-	EXPECT_FALSE(capacity.has_room({ "r", 1 }, 41.0, at(0)));
+	EXPECT_FALSE(capacity.has_capacity({ "r", 1 }, 41.0, at(0)));
 	capacity.keep("two", { "r", 1 }, 30.0, "", at(1000));
 	capacity.release({ "one", "unknown" });
-	EXPECT_TRUE(capacity.has_room({ "r", 1 }, 70.0, at(1000)));
+	EXPECT_TRUE(capacity.has_capacity({ "r", 1 }, 70.0, at(1000)));
 	capacity.expire(at(5000));
 	EXPECT_EQ(capacity.get_used({ "r", 1 }), 0.0);
 }
 
 TEST(result_room, what_a_refusal_shows_goes_with_its_time_to_live) {
-	result_room capacity = make_capacity();
+	result_capacity capacity = make_capacity();
 	capacity.on_refused({ "r", 1 }, 20.0, at(0));
-	EXPECT_FALSE(capacity.has_room({ "r", 1 }, 21.0, at(0)));
-	EXPECT_TRUE(capacity.has_room({ "r", 1 }, 59.0, at(2000)));
-	EXPECT_TRUE(capacity.has_room({ "r", 1 }, 100.0, at(4000)));
+	EXPECT_FALSE(capacity.has_capacity({ "r", 1 }, 21.0, at(0)));
+	EXPECT_TRUE(capacity.has_capacity({ "r", 1 }, 59.0, at(2000)));
+	EXPECT_TRUE(capacity.has_capacity({ "r", 1 }, 100.0, at(4000)));
 }
 
 TEST(result_room, results_are_found_by_who_holds_them) {
-	result_room capacity = make_capacity();
+	result_capacity capacity = make_capacity();
 	capacity.keep("one", { "r", 1 }, 10.0, "", at(0));
 	capacity.keep("two", { "r", 1 }, 10.0, "", at(0));
 	capacity.set_owner({ "two" }, "node");
--- a/tests/servers/gateway/stage_pool_search_test.cpp
+++ b/tests/servers/gateway/stage_pool_search_test.cpp
@@ -42,7 +42,7 @@
 		spec.batch = 8;
 		spec.call_time = milliseconds(150);
 		spec.piece_time = milliseconds(16);
-		spec.room_bytes = 42e6;
+		spec.capacity_bytes = 42e6;
 		spec.result_ttl = seconds(4);
 		_pool.set_spec(spec);
 		_pool.set_limit([this](const endpoint_identity &, instant) {
--- a/tests/servers/gateway/stage_pool_test.cpp
+++ b/tests/servers/gateway/stage_pool_test.cpp
@@ -146,7 +146,7 @@
 	}
 	ASSERT_EQ(calls.size(), 2U);
 	EXPECT_DOUBLE_EQ(_pool.get_capacity(at(milliseconds(1))), 2.0);
-	_pool.set_unreached_zones({ "b" }, MAY_REPEAT);
+	_pool.set_unreachable_zones({ "b" }, MAY_REPEAT);
 	EXPECT_DOUBLE_EQ(_pool.get_capacity(at(milliseconds(1))), 1.0);
 	_pool.on_call_ended(calls.at("e1").id, call_end::ANSWERED, make_results(calls.at("e1"), "e1:1"), at(milliseconds(230)));
 	const stage_call again = expect_call(milliseconds(230));
@@ -158,7 +158,7 @@
 }
 
 TEST_F(stage_pool_test, with_all_zones_cut_off_any_replica_is_tried) {
-	_pool.set_unreached_zones({ "a" }, MAY_REPEAT);
+	_pool.set_unreachable_zones({ "a" }, MAY_REPEAT);
 	_pool.add(1, make_work(1, at(milliseconds(2000))), at(milliseconds(0)));
 	EXPECT_EQ(expect_call(milliseconds(0)).replica.vm, "e1");
 }
@@ -176,7 +176,7 @@
 	ASSERT_EQ(_pool.take_ended().size(), 1U);
 	_pool.on_call_ended(slow.id, call_end::ANSWERED, make_results(slow, "a:1"), at(milliseconds(900)));
 	EXPECT_TRUE(_pool.take_ended().empty());
-	EXPECT_EQ(_pool.take_unwanted(), std::vector<std::string>{ "a:1/1.0" });
+	EXPECT_EQ(_pool.take_unneeded_results(), std::vector<std::string>{ "a:1/1.0" });
 }
 
 TEST_F(stage_pool_test, a_result_made_twice_under_one_handle_is_not_released_while_it_is_used) {
@@ -187,7 +187,7 @@
 	const stage_call again = expect_call(milliseconds(700));
 	_pool.on_call_ended(slow.id, call_end::ANSWERED, { item_result{ item_end::DONE, "a:1/x" }, item_result{ item_end::FAILED, "" } }, at(milliseconds(750)));
 	_pool.on_call_ended(again.id, call_end::ANSWERED, { item_result{ item_end::DONE, "a:1/x" }, item_result{ item_end::DONE, "a:1/y" } }, at(milliseconds(800)));
-	EXPECT_TRUE(_pool.take_unwanted().empty());
+	EXPECT_TRUE(_pool.take_unneeded_results().empty());
 	ASSERT_EQ(_pool.take_ended().size(), 1U);
 }
 
@@ -222,16 +222,16 @@
 TEST_F(stage_pool_test, input_that_is_gone_ends_the_work_and_its_results_are_released) {
 	_pool.add(1, make_work(2, at(milliseconds(2000))), at(milliseconds(0)));
 	const stage_call call = expect_call(milliseconds(0));
-	_pool.on_call_ended(call.id, call_end::ANSWERED, { item_result{ item_end::DONE, "a:1/x" }, item_result{ item_end::INPUT_GONE, "" } }, at(milliseconds(200)));
+	_pool.on_call_ended(call.id, call_end::ANSWERED, { item_result{ item_end::DONE, "a:1/x" }, item_result{ item_end::INPUT_LOST, "" } }, at(milliseconds(200)));
 	const std::vector<work_result> ended = _pool.take_ended();
 	ASSERT_EQ(ended.size(), 1U);
-	EXPECT_EQ(ended[0].end, work_end::INPUT_GONE);
-	EXPECT_EQ(_pool.take_unwanted(), std::vector<std::string>{ "a:1/x" });
+	EXPECT_EQ(ended[0].end, work_end::INPUT_LOST);
+	EXPECT_EQ(_pool.take_unneeded_results(), std::vector<std::string>{ "a:1/x" });
 }
 
 TEST_F(stage_pool_test, a_replica_gets_no_more_than_its_room) {
 	stage_pool_spec spec = make_spec();
-	spec.room_bytes = 8.0;
+	spec.capacity_bytes = 8.0;
 	_pool.set_spec(spec);
 	stage_work work = make_work(8, at(milliseconds(2000)));
 	work.result_bytes = 2;
@@ -247,7 +247,7 @@
 
 TEST_F(stage_pool_test, room_of_results_that_nobody_releases_comes_back_with_their_time_to_live) {
 	stage_pool_spec spec = make_spec();
-	spec.room_bytes = 8.0;
+	spec.capacity_bytes = 8.0;
 	_pool.set_spec(spec);
 	stage_work work = make_work(8, at(milliseconds(20000)));
 	work.result_bytes = 2;
@@ -261,7 +261,7 @@
 
 TEST_F(stage_pool_test, room_that_unknown_results_hold_is_learnt_from_refused_pieces) {
 	stage_pool_spec spec = make_spec();
-	spec.room_bytes = 8.0;
+	spec.capacity_bytes = 8.0;
 	_pool.set_spec(spec);
 	stage_work work = make_work(8, at(seconds(20)));
 	work.result_bytes = 1;
@@ -270,7 +270,7 @@
 	ASSERT_EQ(first.items.size(), 8U);
 	std::vector<item_result> results = make_results(first, "e1:1");
 	for (std::size_t i = 2; i < results.size(); i++) {
-		results[i] = item_result{ item_end::NO_ROOM, "" };
+		results[i] = item_result{ item_end::NO_CAPACITY, "" };
 	}
 	_pool.on_call_ended(first.id, call_end::ANSWERED, results, at(milliseconds(200)));
 	EXPECT_FALSE(_pool.next_call(at(milliseconds(400)))) << "six unknown results fill the remaining capacity";
@@ -280,11 +280,11 @@
 
 TEST_F(stage_pool_test, results_that_others_hold_take_room_until_they_are_released_or_their_holder_is_lost) {
 	stage_pool_spec spec = make_spec();
-	spec.room_bytes = 8.0;
+	spec.capacity_bytes = 8.0;
 	_pool.set_spec(spec);
-	const network_address maker{ "10.0.0.1", 80 };
-	_pool.on_results_told("n1", { held_result{ "e1:1/a", maker, 0, 3.0 }, held_result{ "e1:1/b", maker, 0, 3.0 }, held_result{ "elsewhere", network_address{ "10.9.9.9", 1 }, 0, 100.0 } }, at(milliseconds(0)));
-	_pool.on_results_told("n1", { held_result{ "e1:1/a", maker, 0, 3.0 } }, at(milliseconds(1)));
+	const network_address producer{ "10.0.0.1", 80 };
+	_pool.on_results_reported("n1", { owned_result{ "e1:1/a", producer, 0, 3.0 }, owned_result{ "e1:1/b", producer, 0, 3.0 }, owned_result{ "elsewhere", network_address{ "10.9.9.9", 1 }, 0, 100.0 } }, at(milliseconds(0)));
+	_pool.on_results_reported("n1", { owned_result{ "e1:1/a", producer, 0, 3.0 } }, at(milliseconds(1)));
 	stage_work work = make_work(8, at(seconds(20)));
 	work.result_bytes = 1;
 	_pool.add(1, work, at(milliseconds(10)));
@@ -381,7 +381,7 @@
 	pool.tick(MAY_REPEAT, at(now + seconds(100)));
 	check();
 	RC_ASSERT(pool.get_work_count() == 0U);
-	RC_ASSERT(pool.get_waiting_pieces() == 0U);
+	RC_ASSERT(pool.get_waiting_items() == 0U);
 }
 
 } // namespace calicoscale
--- a/tests/servers/gateway/stage_restart_test.cpp
+++ b/tests/servers/gateway/stage_restart_test.cpp
@@ -34,7 +34,7 @@
 		spec.batch = 1;
 		spec.call_time = milliseconds(100);
 		spec.result_ttl = seconds(4);
-		spec.room_bytes = 100.0;
+		spec.capacity_bytes = 100.0;
 		_pool.set_spec(spec);
 		start_replica(1);
 	}
@@ -111,19 +111,19 @@
 	const std::optional<stage_call> again = _pool.next_call(at(120));
 	ASSERT_TRUE(again) << "the memory is free";
 	EXPECT_EQ(again->items[0].piece, 0U) << "its result was lost";
-	EXPECT_EQ(_pool.get_waiting_pieces(), 1U);
-	EXPECT_EQ(_pool.take_unwanted(), (std::vector<std::string>{ "10.0.0.1:80/a" }));
+	EXPECT_EQ(_pool.get_waiting_items(), 1U);
+	EXPECT_EQ(_pool.take_unneeded_results(), (std::vector<std::string>{ "10.0.0.1:80/a" }));
 	EXPECT_TRUE(_pool.take_ended().empty());
 }
 
 TEST_F(stage_restart_test, results_told_of_the_earlier_start_take_no_room_at_the_later_one) {
 	start_replica(2);
 	add_work(1);
-	_pool.on_results_told("n", { held_result{ "10.0.0.1:80/a", ADDRESS, 1, 100.0 } }, at(0));
+	_pool.on_results_reported("n", { owned_result{ "10.0.0.1:80/a", ADDRESS, 1, 100.0 } }, at(0));
 	const std::optional<stage_call> call = _pool.next_call(at(0));
 	ASSERT_TRUE(call);
 	_pool.on_call_ended(call->id, call_end::REFUSED, {}, at(10));
-	_pool.on_results_told("n", { held_result{ "10.0.0.1:80/b", ADDRESS, 2, 100.0 } }, at(10));
+	_pool.on_results_reported("n", { owned_result{ "10.0.0.1:80/b", ADDRESS, 2, 100.0 } }, at(10));
 	EXPECT_FALSE(_pool.next_call(at(200))) << "the result of the later incarnation occupies the memory";
 }
 
--- a/tests/servers/limits_test.cpp
+++ b/tests/servers/limits_test.cpp
@@ -171,7 +171,7 @@
 		for (const dropped_request &dropped : p_changes.expired) {
 			RC_ASSERT(waiting.erase(dropped.id.sequence) == 1U);
 		}
-		for (const dropped_request &dropped : p_changes.crowded_out) {
+		for (const dropped_request &dropped : p_changes.evicted_requests) {
 			RC_ASSERT(waiting.erase(dropped.id.sequence) == 1U);
 		}
 	};
@@ -184,7 +184,7 @@
 			next++;
 		} else if (!inside.empty()) {
 			inside.erase(inside.begin());
-			apply_changes(gate.leave(static_cast<place_use>(choices.pick(3)), std::chrono::milliseconds(10), 1.0 + choices.pick(5), now));
+			apply_changes(gate.leave(static_cast<slot_outcome>(choices.pick(3)), std::chrono::milliseconds(10), 1.0 + choices.pick(5), now));
 		} else {
 			apply_changes(gate.expire(now));
 		}
@@ -198,7 +198,7 @@
 	const double before = gate.get_limit();
 	for (std::uint64_t i = 1; i <= 30; i++) {
 		gate.enter(make_queued(i, "a"), at(static_cast<std::int64_t>(i) * 200));
-		gate.leave(place_use::REFUSED, std::chrono::milliseconds(1), 1.0, at(static_cast<std::int64_t>(i) * 200));
+		gate.leave(slot_outcome::REFUSED, std::chrono::milliseconds(1), 1.0, at(static_cast<std::int64_t>(i) * 200));
 	}
 	EXPECT_LT(gate.get_limit(), before / 2);
 	EXPECT_FALSE(gate.may_retry(at(100'000)));
@@ -219,7 +219,7 @@
 	gate.set_shares(0.0, 1.0, 0.0);
 	const auto succeed = [&gate](std::uint64_t p_number) {
 		gate.enter(make_queued(p_number, "a"), at(0));
-		gate.leave(place_use::SUCCEEDED, std::chrono::milliseconds(1), 1.0, at(0));
+		gate.leave(slot_outcome::SUCCEEDED, std::chrono::milliseconds(1), 1.0, at(0));
 	};
 	for (std::uint64_t number = 1; number <= 5; number++) {
 		succeed(number);
@@ -254,15 +254,15 @@
 
 TEST(stage_times, nearest_class_stands_in) {
 	stage_times times;
-	EXPECT_EQ(times.estimate("p", timed_part::WHOLE, 3, 0.5, at(0)), duration::zero());
+	EXPECT_EQ(times.estimate("p", time_kind::TOTAL, 3, 0.5, at(0)), duration::zero());
 	for (int i = 0; i < 10; i++) {
-		times.add("p", timed_part::WHOLE, 2, std::chrono::milliseconds(20), at(i));
-		times.add("p", timed_part::WHOLE, 7, std::chrono::milliseconds(900), at(i));
+		times.add("p", time_kind::TOTAL, 2, std::chrono::milliseconds(20), at(i));
+		times.add("p", time_kind::TOTAL, 7, std::chrono::milliseconds(900), at(i));
 	}
-	EXPECT_NEAR(to_milliseconds(times.estimate("p", timed_part::WHOLE, 3, 0.5, at(10))), 20.0, 3.0);
-	EXPECT_NEAR(to_milliseconds(times.estimate("p", timed_part::WHOLE, 6, 0.5, at(10))), 900.0, 100.0);
-	EXPECT_EQ(times.estimate("other", timed_part::WHOLE, 3, 0.5, at(10)), duration::zero());
-	EXPECT_EQ(times.estimate("p", timed_part::FIRST_TOKEN, 3, 0.5, at(10)), duration::zero());
+	EXPECT_NEAR(to_milliseconds(times.estimate("p", time_kind::TOTAL, 3, 0.5, at(10))), 20.0, 3.0);
+	EXPECT_NEAR(to_milliseconds(times.estimate("p", time_kind::TOTAL, 6, 0.5, at(10))), 900.0, 100.0);
+	EXPECT_EQ(times.estimate("other", time_kind::TOTAL, 3, 0.5, at(10)), duration::zero());
+	EXPECT_EQ(times.estimate("p", time_kind::FIRST_TOKEN, 3, 0.5, at(10)), duration::zero());
 }
 
 RC_GTEST_PROP(limit_share_properties, parts_of_nodes_that_know_the_same_never_exceed_the_limit, ()) {
@@ -277,7 +277,7 @@
 	double rate = 0.0;
 	int slots = 0;
 	for (const share_member &member : members) {
-		const limit_part part = compute_limit_part(member.vm, members, zones, "c", 100.0, limit);
+		const node_limit_share part = compute_limit_share(member.vm, members, zones, "c", 100.0, limit);
 		RC_ASSERT(part.rate_share >= 0.0);
 		RC_ASSERT(part.concurrency >= 0);
 		rate += part.rate_share;
@@ -301,7 +301,7 @@
 		for (share_member &other : visible) {
 			other.grant_valid = other.zone == member.zone;
 		}
-		rate += compute_limit_part(member.vm, visible, zones, "c", 100.0, 30).rate_share;
+		rate += compute_limit_share(member.vm, visible, zones, "c", 100.0, 30).rate_share;
 	}
 	RC_ASSERT(rate <= 1.0 + 1e-9);
 }
@@ -309,16 +309,16 @@
 TEST(limit_share, busy_zone_borrows_what_quiet_ones_leave) {
 	const std::vector<std::string> zones{ "z0", "z1" };
 	const std::vector<share_member> members{ make_member("a", "z0", 90.0), make_member("b", "z1", 2.0) };
-	const limit_part busy = compute_limit_part("a", members, zones, "c", 100.0, 100);
+	const node_limit_share busy = compute_limit_share("a", members, zones, "c", 100.0, 100);
 	EXPECT_GT(busy.rate_share, 0.8);
-	const limit_part quiet = compute_limit_part("b", members, zones, "c", 100.0, 100);
+	const node_limit_share quiet = compute_limit_share("b", members, zones, "c", 100.0, 100);
 	EXPECT_GT(quiet.rate_share, 0.1);
 }
 
 TEST(customer_limiter, limits_rate_and_concurrency_and_tells_when_to_come_back) {
 	customer_limiter limiter;
 	EXPECT_FALSE(limiter.ask("c", at(0)).admitted);
-	limiter.set_part("c", customer_limits{ 10.0, 0.1, 2 }, limit_part{ 1.0, 2 }, at(0));
+	limiter.set_part("c", customer_limits{ 10.0, 0.1, 2 }, node_limit_share{ 1.0, 2 }, at(0));
 	EXPECT_TRUE(limiter.ask("c", at(0)).admitted);
 	const admission_answer too_fast = limiter.ask("c", at(1));
 	EXPECT_EQ(too_fast.why, reason::CUSTOMER_RATE);
--- a/tests/servers/list_budget_test.cpp
+++ b/tests/servers/list_budget_test.cpp
@@ -32,7 +32,7 @@
 	// Each of 300 peers sends five heartbeats a second and isn't ready for ten seconds.
 	for (int ms = 0; ms < 10'000; ms += 200) {
 		for (int peer = 0; peer < 300; peer++) {
-			sent_bytes += budget.try_tell("n" + std::to_string(peer), 1, LIST_BYTES, at_ms(ms)) ? LIST_BYTES : 0;
+			sent_bytes += budget.try_send("n" + std::to_string(peer), 1, LIST_BYTES, at_ms(ms)) ? LIST_BYTES : 0;
 		}
 	}
 	EXPECT_LE(static_cast<double>(sent_bytes), SMALL_LINK_BYTES * 10.0 * 0.5 + 2.0 * LIST_BYTES);
@@ -56,7 +56,7 @@
 			for (int peer = 0; list_known_at >= 0 && list_known_at <= ms && peer < NODES; peer++) {
 				// The large nodes are linked to all nodes; the others only to the large ones.
 				const bool is_linked = sender < 6 || peer < 6;
-				if (known_at[peer] < 0 && is_linked && budgets[sender].try_tell(std::to_string(peer), 1, LIST_BYTES, at_ms(ms))) {
+				if (known_at[peer] < 0 && is_linked && budgets[sender].try_send(std::to_string(peer), 1, LIST_BYTES, at_ms(ms))) {
 					const double link_bytes = sender < 6 ? LARGE_LINK_BYTES : SMALL_LINK_BYTES;
 					known_at[peer] = ms + static_cast<int>(2.0 * LIST_BYTES / link_bytes * 1000.0);
 					known++;
@@ -69,12 +69,12 @@
 
 TEST(list_budget, a_peer_is_told_once_and_again_only_later_or_after_its_next_start) {
 	list_budget budget(LARGE_LINK_BYTES);
-	EXPECT_TRUE(budget.try_tell("a", 1, 1000, at_ms(0)));
-	EXPECT_FALSE(budget.try_tell("a", 1, 1000, at_ms(900)));
-	EXPECT_TRUE(budget.try_tell("a", 2, 1000, at_ms(900)));
-	EXPECT_TRUE(budget.try_tell("a", 2, 1000, at_ms(1900)));
-	EXPECT_FALSE(budget.try_tell("a", 2, 1000, at_ms(2950))) << "the pause doubles each time";
-	EXPECT_TRUE(budget.try_tell("a", 2, 1000, at_ms(3950)));
+	EXPECT_TRUE(budget.try_send("a", 1, 1000, at_ms(0)));
+	EXPECT_FALSE(budget.try_send("a", 1, 1000, at_ms(900)));
+	EXPECT_TRUE(budget.try_send("a", 2, 1000, at_ms(900)));
+	EXPECT_TRUE(budget.try_send("a", 2, 1000, at_ms(1900)));
+	EXPECT_FALSE(budget.try_send("a", 2, 1000, at_ms(2950))) << "the pause doubles each time";
+	EXPECT_TRUE(budget.try_send("a", 2, 1000, at_ms(3950)));
 }
 
 } // namespace calicoscale
--- a/tests/servers/list_request_test.cpp
+++ b/tests/servers/list_request_test.cpp
@@ -20,7 +20,7 @@
 	return instant{} + std::chrono::hours(1) + std::chrono::milliseconds(p_ms);
 }
 
-const std::vector<list_teller> SOURCES{ { "far-large", false, 0.5 }, { "near-small", true, 0.12 }, { "near-large", true, 0.5 }, { "far-small", false, 0.12 } };
+const std::vector<list_source> SOURCES{ { "far-large", false, 0.5 }, { "near-small", true, 0.12 }, { "near-large", true, 0.5 }, { "far-small", false, 0.12 } };
 
 } // namespace
 
@@ -49,9 +49,9 @@
 }
 
 TEST(list_request, nodes_that_start_together_spread_over_whoever_tells) {
-	std::vector<list_teller> sources;
+	std::vector<list_source> sources;
 	for (int i = 0; i < 10; i++) {
-		sources.push_back(list_teller{ "n" + std::to_string(i), true, 0.12 });
+		sources.push_back(list_source{ "n" + std::to_string(i), true, 0.12 });
 	}
 	std::set<std::string> selected;
 	for (int i = 0; i < 100; i++) {
--- a/tests/servers/load/write_budget_test.cpp
+++ b/tests/servers/load/write_budget_test.cpp
@@ -29,7 +29,7 @@
 			}
 		}
 	}
-	EXPECT_LE(budget.get_held(), MAX_BYTES);
+	EXPECT_LE(budget.get_buffered_bytes(), MAX_BYTES);
 	for (const std::size_t entry : buffered) {
 		EXPECT_GT(entry, 0U) << "each reader makes progress";
 	}
@@ -37,10 +37,10 @@
 
 TEST(write_budget, a_lone_slow_reader_holds_its_share_at_most) {
 	write_budget budget;
-	EXPECT_TRUE(budget.is_full(write_budget::LARGEST_SHARE + 1));
-	EXPECT_FALSE(budget.is_full(write_budget::LARGEST_SHARE));
-	EXPECT_FALSE(budget.has_room(write_budget::LARGEST_SHARE));
-	EXPECT_TRUE(budget.has_room(write_budget::LARGEST_SHARE / 2));
+	EXPECT_TRUE(budget.is_full(write_budget::MAX_SHARE + 1));
+	EXPECT_FALSE(budget.is_full(write_budget::MAX_SHARE));
+	EXPECT_FALSE(budget.has_capacity(write_budget::MAX_SHARE));
+	EXPECT_TRUE(budget.has_capacity(write_budget::MAX_SHARE / 2));
 }
 
 TEST(write_budget, what_was_taken_is_free_again) {
@@ -49,7 +49,7 @@
 	EXPECT_TRUE(budget.is_over());
 	budget.remove(1500);
 	budget.remove(10);
-	EXPECT_EQ(budget.get_held(), 0U);
+	EXPECT_EQ(budget.get_buffered_bytes(), 0U);
 }
 
 } // namespace calicoscale
--- a/tests/servers/once_test.cpp
+++ b/tests/servers/once_test.cpp
@@ -6,8 +6,8 @@
  * SPDX-License-Identifier: MIT
  */
 
-#include "servers/once/claim_book.h"
-#include "servers/once/ticket_book.h"
+#include "servers/once/claim_registry.h"
+#include "servers/once/ticket_registry.h"
 #include "tests/choice_source.h"
 
 #include <gtest/gtest.h>
@@ -26,7 +26,7 @@
 /** Simulates nodes that claim keys on one log that loses answers, removes old records and applies appends late. */
 class claim_simulation {
 	struct node {
-		std::unique_ptr<claim_book> book;
+		std::unique_ptr<claim_registry> book;
 		std::string vm;
 		std::map<std::uint64_t, std::string> waiting; ///< Open claims, with their key.
 		std::map<std::uint64_t, std::string> running;
@@ -44,7 +44,7 @@
 	void _restart(node &r_node) {
 		RC_LOG() << r_node.vm << " restarts at " << _wall - START << "\n";
 		r_node.vm = "vm" + std::to_string(_incarnations % 3);
-		r_node.book = std::make_unique<claim_book>(r_node.vm, ++_incarnations, KEY_AGE, 1000);
+		r_node.book = std::make_unique<claim_registry>(r_node.vm, ++_incarnations, KEY_AGE, 1000);
 		r_node.waiting.clear();
 		r_node.running.clear();
 	}
@@ -186,8 +186,8 @@
 };
 
 struct book_pair {
-	claim_book left{ "left", 1, KEY_AGE, 100 };
-	claim_book right{ "right", 2, KEY_AGE, 100 };
+	claim_registry left{ "left", 1, KEY_AGE, 100 };
+	claim_registry right{ "right", 2, KEY_AGE, 100 };
 
 	book_pair() {
 		left.take_read(0, {}, 0, true, START);
@@ -206,7 +206,7 @@
 
 RC_GTEST_PROP(ticket_book_properties, a_ticket_runs_at_most_once, ()) {
 	choice_source choices(200);
-	ticket_book book("vm", 1, "secret", 50);
+	ticket_registry book("vm", 1, "secret", 50);
 	std::vector<std::string> tickets;
 	std::map<std::string, int> runs;
 	unix_milliseconds wall = START;
@@ -238,7 +238,7 @@
 }
 
 TEST(ticket_book, first_outcome_is_replayed) {
-	ticket_book book("vm", 1, "secret", 10);
+	ticket_registry book("vm", 1, "secret", 10);
 	const ticket_key ticket = *parse_ticket(book.issue("customer", START + 1000));
 	EXPECT_EQ(book.submit("customer", ticket, START).step, once_step::RUN);
 	EXPECT_EQ(book.submit("customer", ticket, START).step, once_step::WAIT);
@@ -249,16 +249,16 @@
 }
 
 TEST(ticket_book, foreign_customer_forged_expired_and_earlier_life) {
-	ticket_book book("vm", 2, "secret", 10);
+	ticket_registry book("vm", 2, "secret", 10);
 	const ticket_key ticket = *parse_ticket(book.issue("customer", START + 1000));
 	EXPECT_EQ(book.submit("other", ticket, START).refusal, (outcome{ verdict::NOT_RUN, reason::NOT_FOUND }));
 	ticket_key forged = ticket;
 	forged.expires_at += 1;
 	EXPECT_EQ(book.submit("customer", forged, START).refusal.why, reason::NOT_FOUND);
 	EXPECT_EQ(book.submit("customer", ticket, START + 1000).refusal, (outcome{ verdict::MAY_HAVE_RUN, reason::KEY_EXPIRED }));
-	ticket_book next_incarnation("vm", 3, "new secret", 10);
+	ticket_registry next_incarnation("vm", 3, "new secret", 10);
 	EXPECT_EQ(next_incarnation.submit("customer", ticket, START).refusal, (outcome{ verdict::MAY_HAVE_RUN, reason::ISSUER_GONE }));
-	ticket_book other_vm("vm2", 3, "new secret", 10);
+	ticket_registry other_vm("vm2", 3, "new secret", 10);
 	EXPECT_EQ(other_vm.submit("customer", ticket, START).step, once_step::PASS_ON);
 }
 
@@ -311,7 +311,7 @@
 }
 
 TEST(claim_book, without_the_log_it_refuses_not_run) {
-	claim_book book("vm", 1, KEY_AGE, 100);
+	claim_registry book("vm", 1, KEY_AGE, 100);
 	std::uint64_t claim = 0;
 	EXPECT_EQ(book.submit("c", KEY, START, claim).refusal, (outcome{ verdict::NOT_RUN, reason::CLAIM_UNAVAILABLE }));
 	book.take_read(0, {}, 0, true, START);
@@ -330,7 +330,7 @@
 }
 
 TEST(claim_book, keys_older_than_a_truncated_log_are_refused) {
-	claim_book book("vm", 1, KEY_AGE, 100);
+	claim_registry book("vm", 1, KEY_AGE, 100);
 	book.take_read(5, {}, 5, true, START + 60'000);
 	std::uint64_t claim = 0;
 	EXPECT_EQ(book.submit("c", KEY, START + 60'000, claim).refusal.why, reason::CLAIM_UNAVAILABLE);
--- a/tests/servers/reading_order_test.cpp
+++ b/tests/servers/reading_order_test.cpp
@@ -7,7 +7,7 @@
  */
 
 #include "servers/gateway/read_schedule.h"
-#include "servers/membership/reading_order.h"
+#include "servers/membership/read_rank.h"
 
 #include <gtest/gtest.h>
 
@@ -33,9 +33,9 @@
 	const std::vector<overlay_node> zone = make_zone(p_nodes);
 	std::size_t readers = 0;
 	for (const overlay_node &node : zone) {
-		read_schedule schedule(read_times{ .first_wait = milliseconds(1500), .place_step = milliseconds(500) });
-		schedule.set_patient(true);
-		schedule.set_place(find_reading_place(node.vm, zone));
+		read_schedule schedule(read_times{ .first_wait = milliseconds(1500), .rank_step = milliseconds(500) });
+		schedule.set_has_peer_reader(true);
+		schedule.set_read_rank(find_read_rank(node.vm, zone));
 		readers += schedule.get_first_wait(p_since_start) == duration::zero() ? 1 : 0;
 	}
 	return readers;
@@ -58,11 +58,11 @@
 	const std::vector<overlay_node> zone = make_zone(40);
 	std::set<std::size_t> positions;
 	for (const overlay_node &node : zone) {
-		const std::size_t position = find_reading_place(node.vm, zone);
+		const std::size_t position = find_read_rank(node.vm, zone);
 		EXPECT_TRUE(positions.insert(position).second);
 		EXPECT_EQ(node.cores == 1.0, position < 2);
 	}
-	EXPECT_EQ(find_reading_place("alone", {}), 0U);
+	EXPECT_EQ(find_read_rank("alone", {}), 0U);
 }
 
 } // namespace calicoscale
--- a/tests/servers/request_flow_test.cpp
+++ b/tests/servers/request_flow_test.cpp
@@ -80,7 +80,7 @@
 		}
 	}
 
-	void _do(const ask_place &) {
+	void _do(const acquire_slot &) {
 		RC_ASSERT(_finishes == 0);
 		RC_ASSERT(!_is_slot_requested);
 		RC_ASSERT(_slots_held == 0);
@@ -92,20 +92,20 @@
 			}
 			_is_slot_requested = false;
 			if (denied) {
-				_apply(_flow->on_place_denied(reason::QUEUE_FULL, _now));
+				_apply(_flow->on_slot_denied(reason::QUEUE_FULL, _now));
 				return;
 			}
 			_slots_held++;
-			_apply(_flow->on_place_given(_now));
+			_apply(_flow->on_slot_granted(_now));
 		});
 	}
 
-	void _do(const return_place &) {
+	void _do(const release_slot &) {
 		_slots_held--;
 		RC_ASSERT(_slots_held == 0);
 	}
 
-	void _do(const withdraw_place &) {
+	void _do(const cancel_slot_request &) {
 		RC_ASSERT(_is_slot_requested);
 		_is_slot_requested = false;
 	}
@@ -249,7 +249,7 @@
 		RC_ASSERT(_finishes == 0);
 		_forwarded.push_back(p_action.token);
 	}
-	void _do(const book_cost &p_action) { _booked_useful += p_action.use == cost_use::USEFUL ? 1 : 0; }
+	void _do(const record_cost &p_action) { _booked_useful += p_action.use == cost_use::USEFUL ? 1 : 0; }
 	void _do(const settle_cost &) {}
 	void _do(const wake_at &p_action) { _wake = p_action.at; }
 	void _do(const finish_request &p_action) {
@@ -333,7 +333,7 @@
 	void run() {
 		_flow = std::make_unique<request_flow>(_plan, _make_hooks());
 		if (_choices.one_in(10)) {
-			_at(std::chrono::milliseconds(_choices.pick(200)), [this] { _apply(_flow->on_caller_gone(_now)); });
+			_at(std::chrono::milliseconds(_choices.pick(200)), [this] { _apply(_flow->on_caller_disconnected(_now)); });
 		}
 		_apply(_flow->start(_now));
 		for (int steps = 0; steps < 2000; steps++) {
@@ -410,7 +410,7 @@
 TEST(request_flow, refused_first_stage_is_not_run) {
 	request_flow flow(make_plan({ true, true, true }), make_plain_hooks());
 	flow.start(instant{});
-	const std::vector<request_action> actions = flow.on_place_denied(reason::QUEUE_FULL, instant{});
+	const std::vector<request_action> actions = flow.on_slot_denied(reason::QUEUE_FULL, instant{});
 	EXPECT_EQ(find_action<finish_request>(actions)->result, (outcome{ verdict::NOT_RUN, reason::QUEUE_FULL }));
 	EXPECT_GT(find_action<finish_request>(actions)->retry_after, duration::zero());
 }
@@ -418,16 +418,16 @@
 TEST(request_flow, refused_second_stage_is_not_called_not_run) {
 	request_flow flow(make_plan({ true, true, true }), make_plain_hooks());
 	flow.start(instant{});
-	const attempt_id first = find_action<start_attempt>(flow.on_place_given(instant{}))->id;
+	const attempt_id first = find_action<start_attempt>(flow.on_slot_granted(instant{}))->id;
 	flow.on_attempt_ended(first, make_end(verdict::COMPLETED, reason::NONE), instant{});
-	const std::vector<request_action> actions = flow.on_place_denied(reason::QUEUE_FULL, instant{});
+	const std::vector<request_action> actions = flow.on_slot_denied(reason::QUEUE_FULL, instant{});
 	EXPECT_EQ(find_action<finish_request>(actions)->result.what, verdict::MAY_HAVE_RUN);
 }
 
 TEST(request_flow, unrepeatable_stage_is_tried_again_only_if_it_did_not_run) {
 	request_flow flow(make_plan({ false, true, true }), make_plain_hooks());
 	flow.start(instant{});
-	const attempt_id first = find_action<start_attempt>(flow.on_place_given(instant{}))->id;
+	const attempt_id first = find_action<start_attempt>(flow.on_slot_granted(instant{}))->id;
 	const std::vector<request_action> again = flow.on_attempt_ended(first, make_end(verdict::NOT_RUN, reason::CONNECT_FAILED), instant{});
 	ASSERT_NE(find_action<start_attempt>(again), nullptr);
 	const attempt_id second = find_action<start_attempt>(again)->id;
@@ -439,7 +439,7 @@
 TEST(request_flow, second_answer_is_dropped_and_counted) {
 	request_flow flow(make_plan({ true, true, true }), make_plain_hooks());
 	flow.start(instant{});
-	const attempt_id first = find_action<start_attempt>(flow.on_place_given(instant{}))->id;
+	const attempt_id first = find_action<start_attempt>(flow.on_slot_granted(instant{}))->id;
 	flow.on_attempt_ended(first, make_end(verdict::COMPLETED, reason::NONE), instant{});
 	EXPECT_TRUE(flow.on_attempt_ended(first, make_end(verdict::COMPLETED, reason::NONE), instant{}).empty());
 	EXPECT_EQ(flow.get_drops().late_answers, 1U);
@@ -448,14 +448,14 @@
 TEST(request_flow, deadline_that_passed_before_the_start_runs_nothing) {
 	request_flow flow(make_plan({ false, true, true }), make_plain_hooks());
 	const std::vector<request_action> actions = flow.start(instant(std::chrono::seconds(2)));
-	EXPECT_EQ(find_action<ask_place>(actions), nullptr);
+	EXPECT_EQ(find_action<acquire_slot>(actions), nullptr);
 	EXPECT_EQ(find_action<finish_request>(actions)->result, (outcome{ verdict::NOT_RUN, reason::DEADLINE_PASSED }));
 }
 
 TEST(request_flow, pause_before_the_place_is_given_runs_nothing) {
 	request_flow flow(make_plan({ false, true, true }), make_plain_hooks());
 	flow.start(instant{});
-	const std::vector<request_action> actions = flow.on_place_given(instant(std::chrono::seconds(2)));
+	const std::vector<request_action> actions = flow.on_slot_granted(instant(std::chrono::seconds(2)));
 	EXPECT_EQ(find_action<start_attempt>(actions), nullptr);
 	EXPECT_EQ(find_action<finish_request>(actions)->result, (outcome{ verdict::NOT_RUN, reason::DEADLINE_PASSED }));
 }
@@ -463,7 +463,7 @@
 TEST(request_flow, given_up_requests_get_their_answer_at_once) {
 	request_flow flow(make_plan({ false, true, true }), make_plain_hooks());
 	flow.start(instant{});
-	const attempt_id first = find_action<start_attempt>(flow.on_place_given(instant{}))->id;
+	const attempt_id first = find_action<start_attempt>(flow.on_slot_granted(instant{}))->id;
 	const instant soon(std::chrono::milliseconds(1));
 	EXPECT_NE(find_action<finish_request>(flow.on_attempt_ended(first, make_end(verdict::MAY_HAVE_RUN, reason::CONNECTION_LOST), soon)), nullptr);
 }
@@ -471,7 +471,7 @@
 TEST(request_flow, hanging_attempt_leaves_time_for_another) {
 	request_flow flow(make_plan({ true, true, true }), make_plain_hooks());
 	flow.start(instant{});
-	const std::vector<request_action> actions = flow.on_place_given(instant{});
+	const std::vector<request_action> actions = flow.on_slot_granted(instant{});
 	const start_attempt *first = find_action<start_attempt>(actions);
 	ASSERT_NE(first, nullptr);
 	EXPECT_LT(first->give_up_at, instant(std::chrono::milliseconds(700)));
@@ -482,7 +482,7 @@
 	plan.stages[0].kind = stage_kind::GENERATE;
 	request_flow flow(plan, make_plain_hooks());
 	flow.start(instant{});
-	const attempt_id first = find_action<start_attempt>(flow.on_place_given(instant{}))->id;
+	const attempt_id first = find_action<start_attempt>(flow.on_slot_granted(instant{}))->id;
 	flow.on_token(first, 0, "token", instant{});
 	const std::vector<request_action> resumed = flow.on_attempt_ended(first, make_end(verdict::MAY_HAVE_RUN, reason::CONNECTION_LOST), instant{});
 	ASSERT_NE(find_action<start_attempt>(resumed), nullptr);
@@ -499,7 +499,7 @@
 		plan.stages[0].kind = stage_kind::GENERATE;
 		request_flow flow(plan, make_plain_hooks());
 		flow.start(instant{});
-		const attempt_id first = find_action<start_attempt>(flow.on_place_given(instant{}))->id;
+		const attempt_id first = find_action<start_attempt>(flow.on_slot_granted(instant{}))->id;
 		flow.on_token(first, 0, "token", instant{});
 		attempt_end end = make_end(verdict::COMPLETED, reason::NONE);
 		stream_digest digest;
--- a/tests/servers/rollout/rollout_fleet.h
+++ b/tests/servers/rollout/rollout_fleet.h
@@ -11,8 +11,8 @@
 
 #include "core/random_source.h"
 #include "platform/rollout_codec.h"
+#include "servers/rollout/open_run_counter.h"
 #include "servers/rollout/rollout_table.h"
-#include "servers/rollout/version_runs.h"
 
 #include <deque>
 #include <functional>
@@ -47,7 +47,7 @@
 class rollout_fleet {
 	struct node {
 		rollout_table table;
-		version_runs runs;
+		open_run_counter runs;
 		bool is_cut_off = false;
 		bool is_running = true;
 		duration clock_step = duration::zero(); ///< Error of the node's time of day.
@@ -66,7 +66,7 @@
 
 	struct fleet_update {
 		instant at{};
-		std::vector<told_rollout> updates;
+		std::vector<rollout_update> updates;
 		rollout_reports total;
 		std::size_t live = 0;
 	};
@@ -119,7 +119,7 @@
 		_order = p_order;
 		for (node &entry : _nodes) {
 			if (entry.is_running) {
-				entry.table.take_records({ p_order }, now);
+				entry.table.apply_records({ p_order }, now);
 				entry.table.set_endpoints({ { SERVICE, _endpoints } });
 			}
 		}
@@ -130,7 +130,7 @@
 		node &killed = _nodes.at(p_node);
 		killed.is_running = false;
 		killed.table = rollout_table(bounds);
-		killed.runs = version_runs();
+		killed.runs = open_run_counter();
 		std::erase_if(_open, [p_node](const open_request &p_request) { return p_request.at == p_node; });
 	}
 
@@ -139,7 +139,7 @@
 		node &started = _nodes.at(p_node);
 		started.is_running = true;
 		if (_order) {
-			started.table.take_whole({ *_order }, log_position{ _order->at.era, _order->at.offset + 1 }, now);
+			started.table.apply_snapshot({ *_order }, log_position{ _order->at.era, _order->at.offset + 1 }, now);
 			started.table.set_endpoints({ { SERVICE, _endpoints } });
 		}
 	}
@@ -254,8 +254,8 @@
 		const bool for_target = known.is_for_target(request, now);
 		std::vector<const std::pair<std::string, std::string> *> usable;
 		for (const auto &endpoint : _endpoints) {
-			const version_side side = known.get_side(endpoint.second);
-			const bool may_get = for_target ? side == version_side::TARGET && known.is_on_trial(endpoint.first, now) : side == version_side::PRESENT;
+			const version_role side = known.get_side(endpoint.second);
+			const bool may_get = for_target ? side == version_role::TARGET && known.is_canary_endpoint(endpoint.first, now) : side == version_role::CURRENT;
 			if (may_get) {
 				usable.push_back(&endpoint);
 			}
@@ -301,7 +301,7 @@
 			entry.table.find(SERVICE)->set_open_at_present(entry.runs.count_others(SERVICE, "2"));
 			if (!entry.is_cut_off) {
 				add_reports(update.total, entry.table.get_reports(now));
-				const std::vector<told_rollout> updates = entry.table.get_told(update.live < HUBS ? entry.table.get_reports(now) : rollout_reports(), now);
+				const std::vector<rollout_update> updates = entry.table.make_update(update.live < HUBS ? entry.table.get_reports(now) : rollout_reports(), now);
 				update.updates.insert(update.updates.end(), updates.begin(), updates.end());
 				update.live++;
 			}
@@ -319,7 +319,7 @@
 				continue;
 			}
 			if (!entry.is_cut_off) {
-				entry.table.take_told(received.updates, now);
+				entry.table.apply_update(received.updates, now);
 			}
 			entry.table.consider(
 					[&received, &entry](const rollout &p_rollout) {
@@ -343,7 +343,7 @@
 				continue;
 			}
 			const std::optional<rollout_status> read = stored ? _read_status(entry) : std::nullopt;
-			const bool is_of_order = read && known.take_status(*read, now);
+			const bool is_of_order = read && known.apply_status(*read, now);
 			if (is_of_order && (read->state == status->state || read->state != rollout_state::IN_PROGRESS)) {
 				continue;
 			}
--- a/tests/servers/rollout/rollout_restart_test.cpp
+++ b/tests/servers/rollout/rollout_restart_test.cpp
@@ -274,11 +274,11 @@
 		rollout other(rollout_bounds(), order, start - seconds(10));
 		other.on_written(rollout_state::IN_PROGRESS);
 		rollout entry(rollout_bounds(), order, start);
-		EXPECT_TRUE(entry.take_status(rollout_status{ "s", "2", rollout_state::IN_PROGRESS, order.at, age }, start));
+		EXPECT_TRUE(entry.apply_status(rollout_status{ "s", "2", rollout_state::IN_PROGRESS, order.at, age }, start));
 		EXPECT_EQ(entry.get_age(start), age);
-		other.take_told(entry.get_told(start), start);
+		other.apply_update(entry.make_update(start), start);
 		EXPECT_EQ(other.get_age(start), seconds(10));
-		entry.take_told(other.get_told(start), start);
+		entry.apply_update(other.make_update(start), start);
 		EXPECT_EQ(entry.get_age(start), seconds(10));
 	}
 }
@@ -288,13 +288,13 @@
 	const rollout_order order{ "s", "2", ORDER_TIME, log_position{ 0, 5 }, false };
 	const instant start{ seconds(100) };
 	rollout first(rollout_bounds(), order, start);
-	first.take_status(rollout_status{ "s", "2", rollout_state::IN_PROGRESS, order.at, seconds(12) }, start);
+	first.apply_status(rollout_status{ "s", "2", rollout_state::IN_PROGRESS, order.at, seconds(12) }, start);
 	first.consider(rollout_view(), start);
 	rollout later(rollout_bounds(), order, start);
-	later.take_status(rollout_status{ "s", "2", rollout_state::IN_PROGRESS, order.at, seconds(39) }, start);
-	first.take_told(later.get_told(start), start);
+	later.apply_status(rollout_status{ "s", "2", rollout_state::IN_PROGRESS, order.at, seconds(39) }, start);
+	first.apply_update(later.make_update(start), start);
 	EXPECT_EQ(first.get_age(start), seconds(12));
-	later.take_told(first.get_told(start), start);
+	later.apply_update(first.make_update(start), start);
 	EXPECT_EQ(later.get_age(start), seconds(12));
 }
 
--- a/tests/servers/rollout/rollout_test.cpp
+++ b/tests/servers/rollout/rollout_test.cpp
@@ -6,7 +6,7 @@
  * SPDX-License-Identifier: MIT
  */
 
-#include "servers/membership/hub_sums.h"
+#include "servers/membership/hub_aggregate.h"
 #include "tests/servers/rollout/rollout_fleet.h"
 
 #include <gtest/gtest.h>
@@ -51,7 +51,7 @@
 	EXPECT_EQ(fleet.refused, 0U);
 	for (std::size_t i = 0; i < fleet.size(); i++) {
 		EXPECT_EQ(fleet.get(i).get_report(fleet.now).open_at_present, 0U);
-		EXPECT_EQ(fleet.get(i).get_side("1"), version_side::BARRED);
+		EXPECT_EQ(fleet.get(i).get_side("1"), version_role::BLOCKED);
 	}
 }
 
@@ -174,11 +174,11 @@
 
 TEST(rollout, the_first_final_state_in_the_store_stands) {
 	rollout entry(rollout_bounds(), rollout_order{ "s", "2", ORDER_TIME, log_position{ 0, 5 }, false }, instant(seconds(1)));
-	EXPECT_TRUE(entry.take_status(rollout_status{ "s", "2", rollout_state::COMPLETED, log_position{ 0, 5 }, {} }, instant(seconds(1))));
-	told_rollout update = entry.get_told(instant(seconds(2)));
+	EXPECT_TRUE(entry.apply_status(rollout_status{ "s", "2", rollout_state::COMPLETED, log_position{ 0, 5 }, {} }, instant(seconds(1))));
+	rollout_update update = entry.make_update(instant(seconds(2)));
 	update.state = rollout_state::ROLLED_BACK;
 	update.is_written = false;
-	EXPECT_FALSE(entry.take_told(update, instant(seconds(2))));
+	EXPECT_FALSE(entry.apply_update(update, instant(seconds(2))));
 	EXPECT_EQ(entry.get_state(), rollout_state::COMPLETED);
 	EXPECT_FALSE(entry.get_unwritten());
 }
@@ -187,20 +187,20 @@
 TEST(rollout, a_report_is_of_the_window_that_what_is_told_beside_it_has_closed) {
 	const instant start(seconds(100));
 	rollout entry(rollout_bounds(), rollout_order{ "s", "2", ORDER_TIME, log_position{ 0, 5 }, false }, start);
-	told_rollout update = entry.get_told(start);
+	rollout_update update = entry.make_update(start);
 	update.report.order = update.order.at;
 	update.report.answers = version_windows(3, version_tally(), version_tally());
-	entry.take_told(update, start);
+	entry.apply_update(update, start);
 	EXPECT_EQ(entry.get_report(start).answers.get_index(), 3U);
 }
 
 TEST(rollout, a_state_of_an_order_that_a_newer_one_replaced_says_nothing) {
 	rollout entry(rollout_bounds(), rollout_order{ "s", "2", ORDER_TIME, log_position{ 0, 5 }, false }, instant(seconds(1)));
-	EXPECT_TRUE(entry.take_order(rollout_order{ "s", "3", ORDER_TIME, log_position{ 0, 8 }, false }, instant(seconds(2))));
-	EXPECT_EQ(entry.get_side("2"), version_side::BARRED) << "it was never completed";
-	EXPECT_FALSE(entry.take_status(rollout_status{ "s", "2", rollout_state::COMPLETED, log_position{ 0, 5 }, {} }, instant(seconds(2))));
+	EXPECT_TRUE(entry.apply_order(rollout_order{ "s", "3", ORDER_TIME, log_position{ 0, 8 }, false }, instant(seconds(2))));
+	EXPECT_EQ(entry.get_side("2"), version_role::BLOCKED) << "it was never completed";
+	EXPECT_FALSE(entry.apply_status(rollout_status{ "s", "2", rollout_state::COMPLETED, log_position{ 0, 5 }, {} }, instant(seconds(2))));
 	EXPECT_EQ(entry.get_state(), rollout_state::IN_PROGRESS);
-	EXPECT_FALSE(entry.take_order(rollout_order{ "s", "2", ORDER_TIME, log_position{ 0, 5 }, false }, instant(seconds(3))));
+	EXPECT_FALSE(entry.apply_order(rollout_order{ "s", "2", ORDER_TIME, log_position{ 0, 5 }, false }, instant(seconds(3))));
 	EXPECT_EQ(entry.get_order().target_version, "3");
 }
 
@@ -235,46 +235,46 @@
 		return rollout_order{ "s" + std::to_string(p_number), "2", ORDER_TIME, log_position{ 0, p_number + (p_is_withdrawn ? 100 : 0) }, p_is_withdrawn };
 	};
 	const auto consider = [&table](int p_second) { table.consider([](const rollout &) { return rollout_view(); }, instant(seconds(p_second))); };
-	const std::uint64_t max_services = rollout_table::MOST_SERVICES;
+	const std::uint64_t max_services = rollout_table::MAX_SERVICES;
 	for (std::uint64_t i = 0; i < max_services + 2; i++) {
-		table.take_records({ make_order(i) }, instant(seconds(1)));
+		table.apply_records({ make_order(i) }, instant(seconds(1)));
 	}
 	consider(2);
 	EXPECT_EQ(table.get_all().size(), max_services);
-	table.take_records({ make_order(3, true) }, instant(seconds(3)));
+	table.apply_records({ make_order(3, true) }, instant(seconds(3)));
 	consider(4);
 	EXPECT_NE(table.find("s" + std::to_string(max_services)), nullptr);
 	EXPECT_EQ(table.find("s" + std::to_string(max_services + 1)), nullptr);
-	table.take_records({ make_order(max_services + 1, true) }, instant(seconds(5)));
-	table.take_records({ make_order(5, true) }, instant(seconds(5)));
+	table.apply_records({ make_order(max_services + 1, true) }, instant(seconds(5)));
+	table.apply_records({ make_order(5, true) }, instant(seconds(5)));
 	consider(6);
 	const rollout *withdrawn = table.find("s" + std::to_string(max_services + 1));
 	ASSERT_NE(withdrawn, nullptr);
-	EXPECT_EQ(withdrawn->get_side("2"), version_side::BARRED) << "taken back while it waited";
+	EXPECT_EQ(withdrawn->get_side("2"), version_role::BLOCKED) << "taken back while it waited";
 }
 
 TEST(rollout, an_order_that_is_written_again_after_the_log_lost_it_goes_on) {
 	rollout entry(rollout_bounds(), rollout_order{ "s", "2", ORDER_TIME, log_position{ 1, 90 }, false }, instant(seconds(1)));
 	entry.on_written(rollout_state::IN_PROGRESS);
-	EXPECT_TRUE(entry.take_order(rollout_order{ "s", "2", ORDER_TIME, log_position{ 2, 20 }, false }, instant(seconds(9))));
+	EXPECT_TRUE(entry.apply_order(rollout_order{ "s", "2", ORDER_TIME, log_position{ 2, 20 }, false }, instant(seconds(9))));
 	EXPECT_TRUE(entry.is_confirmed());
-	EXPECT_EQ(entry.get_told(instant(seconds(9))).age, seconds(8));
+	EXPECT_EQ(entry.make_update(instant(seconds(9))).age, seconds(8));
 }
 
 TEST(rollout, what_nodes_count_reaches_all_by_way_of_hubs_once) {
-	using sums = hub_sums<int>;
+	using sums = hub_aggregate<int>;
 	const auto add = [](int &r_sum, const int &p_value) { r_sum += p_value; };
 	sums hub(add);
 	sums other(add);
 	hub.set_own(1);
-	hub.take_follower("a", 10);
-	hub.take_follower("b", 100);
+	hub.set_follower("a", 10);
+	hub.set_follower("b", 100);
 	other.set_own(1000);
-	hub.take_peer("other", other.get_subtree());
-	other.take_peer("hub", hub.get_subtree());
+	hub.set_peer("other", other.get_subtree());
+	other.set_peer("hub", hub.get_subtree());
 	EXPECT_EQ(hub.get_total(), 1111);
 	EXPECT_EQ(other.get_total(), 1111);
-	hub.take_follower("a", 20);
+	hub.set_follower("a", 20);
 	hub.forget("b");
 	EXPECT_EQ(hub.get_total(), 1021);
 }
--- a/tests/servers/routing_test.cpp
+++ b/tests/servers/routing_test.cpp
@@ -333,13 +333,13 @@
 TEST(router, endpoints_of_a_zone_that_is_cut_off_are_chosen_only_when_no_other_is_left) {
 	router table("z1", 1);
 	table.set_listings(make_pool(4, { "z1", "z2" }));
-	table.set_unreached_zones({ "z1" });
+	table.set_unreachable_zones({ "z1" });
 	EXPECT_EQ(table.find(*table.choose(make_request(), at(0)))->listing.zone, "z2");
 	EXPECT_EQ(table.get_usable(choice_request{ "pool", {}, 0, {}, nullptr }, at(0)).size(), 2U);
-	table.set_unreached_zones({ "z1", "z2" });
+	table.set_unreachable_zones({ "z1", "z2" });
 	EXPECT_TRUE(table.choose(make_request(), at(0)));
 	EXPECT_EQ(table.get_usable(choice_request{ "pool", {}, 0, {}, nullptr }, at(0)).size(), 4U);
-	table.set_unreached_zones({});
+	table.set_unreachable_zones({});
 	EXPECT_EQ(table.find(*table.choose(make_request(), at(0)))->listing.zone, "z1");
 }
 
@@ -432,9 +432,9 @@
 	EXPECT_EQ(seen.size(), 3U);
 	settings.policy = routing_policy::LEAST_REPORTED;
 	table.set_settings(settings);
-	table.take_report(1, endpoint_load{ 5, 0, at(0) });
-	table.take_report(2, endpoint_load{ 1, 0, at(0) });
-	table.take_report(3, endpoint_load{ 9, 0, at(0) });
+	table.apply_report(1, endpoint_load{ 5, 0, at(0) });
+	table.apply_report(2, endpoint_load{ 1, 0, at(0) });
+	table.apply_report(3, endpoint_load{ 9, 0, at(0) });
 	EXPECT_EQ(table.choose(make_request(), at(0)), std::optional<endpoint_id>(2));
 	EXPECT_FALSE(find_routing_policy("no such policy").has_value());
 }
--- a/tests/servers/shared_state_test.cpp
+++ b/tests/servers/shared_state_test.cpp
@@ -63,7 +63,7 @@
 		member_digest digest = make_digest("other", 1 + choices.pick(3), 1 + choices.pick(20));
 		// A node that leaves reports so from then on, while relayed digests from before still circulate.
 		digest.leaving = choices.one_in(6);
-		table.take_digests({ digest }, at(0));
+		table.merge_digests({ digest }, at(0));
 		const bool is_newer = std::tie(digest.incarnation, digest.heartbeat) > std::tie(newest_incarnation, newest_heartbeat);
 		if (is_newer) {
 			newest_incarnation = digest.incarnation;
@@ -81,13 +81,13 @@
 
 TEST(member_table, silence_is_suspected_then_gone_then_forgotten_and_heals) {
 	member_table table(make_digest("self"));
-	table.take_digests({ make_digest("other", 1, 1) }, at(0));
+	table.merge_digests({ make_digest("other", 1, 1) }, at(0));
 	const duration suspect_after = table.get_suspect_after();
 	table.tick(at(0) + suspect_after);
 	EXPECT_EQ(table.find("other")->state, member_state::SUSPECT);
 	table.tick(at(0) + suspect_after * 7);
 	EXPECT_EQ(table.find("other")->state, member_state::GONE);
-	table.take_digests({ make_digest("other", 1, 2) }, at(0) + suspect_after * 8);
+	table.merge_digests({ make_digest("other", 1, 2) }, at(0) + suspect_after * 8);
 	EXPECT_EQ(table.find("other")->state, member_state::ALIVE);
 	table.tick(at(0) + suspect_after * 100);
 	EXPECT_EQ(table.find("other"), nullptr);
@@ -95,11 +95,11 @@
 
 TEST(member_table, listed_members_are_kept_though_silent) {
 	member_table table(make_digest("self"));
-	table.take_listings({ entry_listing{ "other", 1, "z2", network_address{ "127.0.0.1", 5 }, false } }, at(0));
+	table.apply_listings({ entry_listing{ "other", 1, "z2", network_address{ "127.0.0.1", 5 }, false } }, at(0));
 	table.tick(at(10'000'000));
 	ASSERT_NE(table.find("other"), nullptr);
 	EXPECT_EQ(table.choose_neighbours(), std::vector<std::string>{ "other" });
-	table.take_listings({}, at(0));
+	table.apply_listings({}, at(0));
 	EXPECT_NE(table.find("other"), nullptr) << "an empty list changes nothing";
 }
 
@@ -110,7 +110,7 @@
 		for (int i = 1; i < size; i++) {
 			digests.push_back(make_digest("vm" + std::to_string(i), 1, 1, "z" + std::to_string(i % 3)));
 		}
-		table.take_digests(digests, at(0));
+		table.merge_digests(digests, at(0));
 		EXPECT_LE(table.choose_neighbours().size(), 3U);
 		EXPECT_LE(table.make_heartbeat().size(), 7U);
 	}
@@ -122,7 +122,7 @@
 	for (int i = 0; i < 50; i++) {
 		digests.push_back(make_digest("vm" + std::to_string(i)));
 	}
-	table.take_digests(digests, at(0));
+	table.merge_digests(digests, at(0));
 	std::set<std::string> sent;
 	for (int heartbeat_index = 0; heartbeat_index < 9; heartbeat_index++) {
 		for (const member_digest &digest : table.make_heartbeat()) {
@@ -136,7 +136,7 @@
 	member_table table(make_digest("self"));
 	member_digest other = make_digest("other", 1, 1, "z2");
 	other.demand[get_customer_code("c")] = 50.0;
-	table.take_digests({ other }, at(0));
+	table.merge_digests({ other }, at(0));
 	EXPECT_TRUE(table.get_share_members(at(0)).at(1).grant_valid);
 	table.tick(at(0) + table.get_suspect_after());
 	const std::vector<share_member> members = table.get_share_members(at(0) + table.get_suspect_after());
@@ -146,7 +146,7 @@
 
 TEST(member_table, after_a_clock_step_back_the_present_life_is_still_the_newest) {
 	member_table table(make_digest("self", 5, 0));
-	table.take_digests({ make_digest("self", 9, 100) }, at(0));
+	table.merge_digests({ make_digest("self", 9, 100) }, at(0));
 	EXPECT_GT(table.get_self().incarnation, 9U);
 }
 
@@ -154,10 +154,10 @@
 	list_guard guard;
 	EXPECT_EQ(guard.take(make_list(10), at(0)).size(), 10U);
 	EXPECT_EQ(guard.take({}, at(1000)).size(), 10U);
-	EXPECT_TRUE(guard.is_doubting());
+	EXPECT_TRUE(guard.is_list_deferred());
 	EXPECT_EQ(guard.take({}, at(10'000'000)).size(), 10U) << "an empty list is never accepted";
 	EXPECT_EQ(guard.take(make_list(10), at(10'000'000)).size(), 10U);
-	EXPECT_FALSE(guard.is_doubting());
+	EXPECT_FALSE(guard.is_list_deferred());
 	EXPECT_EQ(guard.take(make_list(4), at(20'000'000)).size(), 10U);
 	EXPECT_EQ(guard.take(make_list(4), at(20'030'000)).size(), 10U);
 	EXPECT_EQ(guard.take(make_list(4), at(20'060'000)).size(), 4U) << "accepted once lists have been that short for a minute";
--- a/tests/servers/store_cover_test.cpp
+++ b/tests/servers/store_cover_test.cpp
@@ -6,7 +6,7 @@
  * SPDX-License-Identifier: MIT
  */
 
-#include "servers/membership/store_cover.h"
+#include "servers/membership/store_coverage.h"
 
 #include <gtest/gtest.h>
 
@@ -49,7 +49,7 @@
 }
 
 TEST(store_cover, a_follower_that_is_heard_covers_and_one_that_stops_does_not) {
-	store_cover cover;
+	store_coverage cover;
 	EXPECT_FALSE(cover.is_covered(1, is_always_responsive, at(0)));
 	cover.on_heartbeat("peer", true, SHORT_INTERVAL, 1);
 	EXPECT_TRUE(cover.is_covered(1, is_always_responsive, at(0)));
@@ -61,7 +61,7 @@
 }
 
 TEST(store_cover, a_follower_whose_silence_would_be_noticed_late_does_not_cover) {
-	store_cover cover;
+	store_coverage cover;
 	cover.on_heartbeat("peer", true, milliseconds(1000), 1);
 	EXPECT_FALSE(cover.is_covered(1, is_always_responsive, at(0)));
 	cover.on_heartbeat("peer", true, duration::zero(), 1);
@@ -70,7 +70,7 @@
 
 /** Guards against a link that carries heartbeats in one direction only: this node would keep its old version indefinitely. */
 TEST(store_cover, a_version_that_does_not_come_from_a_follower_is_read_from_the_store) {
-	store_cover cover;
+	store_coverage cover;
 	cover.on_heartbeat("peer", true, SHORT_INTERVAL, 2);
 	EXPECT_TRUE(cover.is_covered(1, is_always_responsive, at(0)));
 	EXPECT_TRUE(cover.is_covered(1, is_always_responsive, at(300)));
--- a/tests/servers/timeline/request_story_test.cpp
+++ b/tests/servers/timeline/request_story_test.cpp
@@ -6,7 +6,7 @@
  * SPDX-License-Identifier: MIT
  */
 
-#include "servers/timeline/request_story.h"
+#include "servers/timeline/request_timeline.h"
 
 #include <gtest/gtest.h>
 
@@ -17,8 +17,8 @@
 /** Logs by name, each a list of lines. */
 using logs = std::map<std::string, std::vector<std::string>>;
 
-request_story read(const std::string &p_request, const logs &p_logs) {
-	request_story story(p_request);
+request_timeline read(const std::string &p_request, const logs &p_logs) {
+	request_timeline story(p_request);
 	for (const auto &[name, lines] : p_logs) {
 		for (const std::string &line : lines) {
 			story.read(name, line);
@@ -60,7 +60,7 @@
 }
 
 TEST(request_story, orders_lines_of_nodes_whose_clocks_differ_and_leaves_out_what_is_others) {
-	request_story story = read("r1", make_logs());
+	request_timeline story = read("r1", make_logs());
 	const std::string text = story.write();
 	EXPECT_LT(text.find("request_admitted"), text.find("stage_asked"));
 	EXPECT_LT(text.find("stage_asked"), text.find("b  stage_call pool"));
@@ -76,23 +76,23 @@
 }
 
 TEST(request_story, tells_why_a_request_was_refused) {
-	const request_story story = read("r2", { { "a", { "ms=5 event=request_refused request=r2 route=x reason=deadline_unreachable status=503 predicted_ms=1900 allowed_ms=1400 retry_after_ms=600" } } });
+	const request_timeline story = read("r2", { { "a", { "ms=5 event=request_refused request=r2 route=x reason=deadline_unreachable status=503 predicted_ms=1900 allowed_ms=1400 retry_after_ms=600" } } });
 	EXPECT_EQ(story.get_cause(), "Refused as not run with 503: the stage pools had more admitted work than would be done within the objective. Predicted 1900 ms, allowed 1400 ms.");
 }
 
 TEST(request_story, tells_what_broke_a_stream_and_where_a_late_answer_waited) {
-	const request_story broken = read("r3", { { "a", { "ms=1 event=send request=r3 endpoint=e9", "ms=30 event=attempt_failed request=r3 endpoint=e9 reason=connection_lost took_ms=29", "ms=30 event=request_finished request=r3 verdict=may_have_run reason=connection_lost sends=1 took_ms=30" } } });
+	const request_timeline broken = read("r3", { { "a", { "ms=1 event=send request=r3 endpoint=e9", "ms=30 event=attempt_failed request=r3 endpoint=e9 reason=connection_lost took_ms=29", "ms=30 event=request_finished request=r3 verdict=may_have_run reason=connection_lost sends=1 took_ms=30" } } });
 	EXPECT_TRUE(contains(broken.get_cause(), "The last attempt, at endpoint e9, ended by connection_lost.")) << broken.get_cause();
-	const request_story late = read("r4", { { "a", { "ms=1 event=stage_done request=r4 stage=1 pool=search took_ms=1200", "ms=2 event=first_event request=r4 endpoint=e1 took_ms=90", "ms=30 event=request_finished request=r4 verdict=completed sends=1 took_ms=1500" } } });
+	const request_timeline late = read("r4", { { "a", { "ms=1 event=stage_done request=r4 stage=1 pool=search took_ms=1200", "ms=2 event=first_event request=r4 endpoint=e1 took_ms=90", "ms=30 event=request_finished request=r4 verdict=completed sends=1 took_ms=1500" } } });
 	EXPECT_EQ(late.get_cause(), "Answered in full after 1500 ms and 1 sends. The longest wait was 1200 ms, for stage 1 at pool search.");
 }
 
 TEST(request_story, a_request_without_an_end_points_to_the_node_that_went) {
-	const request_story restarted = read("r5", { { "a", { "ms=1 event=started vm=a wall_ms=1000", "ms=100 event=send request=r5 endpoint=e1", "ms=1500 event=started vm=a wall_ms=2500" } } });
+	const request_timeline restarted = read("r5", { { "a", { "ms=1 event=started vm=a wall_ms=1000", "ms=100 event=send request=r5 endpoint=e1", "ms=1500 event=started vm=a wall_ms=2500" } } });
 	EXPECT_EQ(restarted.get_cause(), "No end is logged: node a ended and started again while it had the request.");
-	const request_story dropped = read("r6", { { "a", { "ms=100 event=send request=r6 endpoint=e1" } } });
+	const request_timeline dropped = read("r6", { { "a", { "ms=100 event=send request=r6 endpoint=e1" } } });
 	EXPECT_TRUE(contains(dropped.get_cause(), "No end is logged")) << dropped.get_cause();
-	const request_story unknown = read("r7", make_logs());
+	const request_timeline unknown = read("r7", make_logs());
 	EXPECT_FALSE(unknown.is_known());
 	EXPECT_TRUE(contains(unknown.get_cause(), "No line names the request"));
 }
--- a/tests/standins/standin_endpoint.cpp
+++ b/tests/standins/standin_endpoint.cpp
@@ -131,7 +131,7 @@
 
 void standin_endpoint::_watch_reader(const std::shared_ptr<work> &p_work) {
 	const std::weak_ptr<work> weak = p_work;
-	p_work->reader->set_on_gone([weak] {
+	p_work->reader->set_on_disconnect([weak] {
 		const std::shared_ptr<work> lost = weak.lock();
 		if (lost) {
 			lost->reader.reset();
@@ -280,7 +280,7 @@
 			p_work->fault_shown = true;
 			const std::shared_ptr<http_exchange> reader = std::move(p_work->reader);
 			p_work->orphaned_at = event_loop::now();
-			reader->set_on_gone(nullptr);
+			reader->set_on_disconnect(nullptr);
 			if (!reader->is_streaming()) {
 				reader->start_stream(200, "application/x-ndjson");
 			}
@@ -298,7 +298,7 @@
 			}
 			p_work->forgotten = true;
 			_free_slot(p_work);
-			reader->set_on_gone(nullptr);
+			reader->set_on_disconnect(nullptr);
 			reader->break_stream();
 			return true;
 		}
