--- a/misc/scripts/mutations.sh
+++ b/misc/scripts/mutations.sh
@@ -103,7 +103,7 @@
 mutate "gateway: leaving marks" "an older entry brings an endpoint back" servers/gateway/endpoint_directory.cpp "entry.listing.leaving = _has_left(entry.listing.get_identity());" "" gateway_state_test
 mutate "gateway: entries that went" "peers' words are not heard" main/gateway/gateway_fleet.cpp "_endpoints.mark_removed(endpoint, p_vm);" "" gateway_fleet_test
 mutate "gateway: outage of the store" "missing entries are dropped at once" servers/gateway/endpoint_directory.cpp "if (_is_after_outage(p_now) && !found->second.listing.leaving)" "if (false)" gateway_state_test
-mutate "gateway: versions" "an older configuration replaces a newer one" platform/configuration_reader.cpp "if (_current && offered->version <= _current->version)" "if (false)" gateway_test
+mutate "gateway: versions" "an older configuration replaces a newer one" platform/configuration_reader.cpp "if (_current && parsed->version <= _current->version)" "if (false)" gateway_test
 mutate "gateway: retry budget" "it is not spent" servers/gateway/retry_window.cpp "_get_bucket(p_bounds, p_now).repeats += 1.0;" "" gateway_state_test
 mutate "gateway: named endpoint" "a send does not say whom it is for" platform/request_codec.cpp "add_header(text, ENDPOINT, p_send.endpoint);" "" gateway_test
 mutate "gateway: planned stop" "the loop ends while requests run" main/gateway/gateway.cpp "const bool is_over = since >= grace - STOP_MARGIN;" "const bool is_over = true;" gateway_fleet_test
--- a/misc/scripts/soak_mutations.sh
+++ b/misc/scripts/soak_mutations.sh
@@ -69,8 +69,8 @@
 mutate "at most once" "every request may be repeated" $request "const bool is_safe = route.repeats" "const bool is_safe = true || route.repeats"
 mutate "planned stop" "the process ends at once" main/gateway/gateway.cpp '_enter(stop_phase::LISTENING, "listening");' "_has_stopped = true;
 	_context.loop.stop();"
-mutate "configuration" "a new one is not taken once there is one" platform/configuration_reader.cpp "if (_current && offered->version <= _current->version)" "if (_current)"
-mutate "configuration" "an older one replaces a newer one" platform/configuration_reader.cpp "if (_current && offered->version <= _current->version)" "if (false)" --copies
+mutate "configuration" "a new one is not taken once there is one" platform/configuration_reader.cpp "if (_current && parsed->version <= _current->version)" "if (_current)"
+mutate "configuration" "an older one replaces a newer one" platform/configuration_reader.cpp "if (_current && parsed->version <= _current->version)" "if (false)" --copies
 mutate "silent store" "a read without an answer is never repeated" main/gateway/topic_reader.cpp "	_send(*repeated_read);" "" --silences
 mutate "leaving" "the state of an endpoint is ignored" platform/endpoint_codec.cpp "	return r_listing.leaving || *state == SERVING_STATE" "	const bool was_leaving = r_listing.leaving;
 	r_listing.leaving = false;
