--- a/drivers/caller_connection.cpp
+++ b/drivers/caller_connection.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: caller_connection.cpp
- * One connection of a caller: reads its requests one after the other and ends when it has rested.
+ * One connection of a caller: reads its requests one at a time and closes after the idle limit.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -25,23 +25,23 @@
 
 namespace {
 
-/** A caller may send this much ahead of its answer before it is made to wait. */
+/** Input in bytes that is buffered while an answer is pending; beyond it the socket is not read. */
 constexpr std::size_t MAX_READ_AHEAD = 256 * 1024;
-/** How long the caller's end is awaited once the last answer is written, so that a reset does not destroy that answer. */
-constexpr duration LINGER = std::chrono::seconds(1);
+/** How long to wait for the caller to close after the last answer is written, so that a reset does not destroy that answer. */
+constexpr duration LINGER_TIMEOUT = std::chrono::seconds(1);
 /**
- * Part of the idle limit that answers tell callers. The rest is for the way of the answer, the way of the next request and a
- * node that is held up. Callers keep to it: of 2,394 requests on a calm day with a limit of 15 s, 25 came on connections that
- * had rested for over 12 s, five of them for over 15 s; none once answers told 12 s (one play each, same seed).
+ * Share of the idle limit that answers advertise. The remainder covers the network delay of the answer and of the next request,
+ * and process stalls of the node. Callers respect it: of 2,394 requests with a limit of 15 s, 25 arrived on connections that
+ * had been idle for over 12 s, five of them for over 15 s; none did once answers advertised 12 s.
  */
-constexpr double REST_TOLD = 0.8;
-/** A limit that is lowered later binds for no longer than this, however long the one before was. */
-constexpr duration LONGEST_PROMISE = std::chrono::minutes(5);
-/** A caller that takes nothing of its answer for so long is ended, also when its system still answers. */
-constexpr duration LONGEST_STALL = std::chrono::seconds(10);
-/** The same while more waits for all callers than the node may hold. */
-constexpr duration LONGEST_STALL_WHEN_OVER = std::chrono::seconds(1);
-/** A caller that takes no bytes for so long is gone. */
+constexpr double ADVERTISED_IDLE_SHARE = 0.8;
+/** Maximum idle limit promised to a caller: after the limit is lowered, the old promise delays closing by no more than this. */
+constexpr duration MAX_PROMISED_IDLE = std::chrono::minutes(5);
+/** A connection whose caller accepts no output for this long is reset, even if the caller's system still responds. */
+constexpr duration MAX_STALL = std::chrono::seconds(10);
+/** The same limit while the output buffered for all callers exceeds the write budget. */
+constexpr duration MAX_STALL_OVER_BUDGET = std::chrono::seconds(1);
+/** TCP_USER_TIMEOUT: the system drops a connection whose sent bytes stay unacknowledged for this long. */
 constexpr unsigned int USER_TIMEOUT_MS = 5000;
 
 } // namespace
@@ -55,7 +55,7 @@
 	if (self._has_ended()) {
 		self._continue_end();
 	} else if (self._phase == phase::READING && !self._reader.has_begun()) {
-		// An answer on its way is no rest.
+		// The idle time starts when the answer has been written.
 		self._idle_since = event_loop::now();
 	}
 }
@@ -65,15 +65,15 @@
 	self._shared.writes.add(p_info->n_added);
 	self._shared.writes.remove(p_info->n_deleted);
 	if (p_info->n_deleted > 0 || p_info->orig_size == 0) {
-		self._taken_at = event_loop::now();
+		self._output_progress_at = event_loop::now();
 	}
 	if (p_info->n_deleted > 0) {
-		self._tell_flow();
+		self._update_flow();
 	}
 }
 
-void caller_connection::_tell_flow() {
-	const std::size_t untaken = _get_untaken();
+void caller_connection::_update_flow() {
+	const std::size_t untaken = _get_unsent_bytes();
 	const bool is_full = _is_full ? !_shared.writes.has_capacity(untaken) : _shared.writes.is_full(untaken);
 	if (is_full == _is_full) {
 		return;
@@ -84,13 +84,13 @@
 	}
 }
 
-std::size_t caller_connection::_get_untaken() const {
+std::size_t caller_connection::_get_unsent_bytes() const {
 	return evbuffer_get_length(bufferevent_get_output(_stream));
 }
 
 bool caller_connection::_is_stalled(instant p_now) const {
-	const duration longest = _shared.writes.is_over() ? LONGEST_STALL_WHEN_OVER : LONGEST_STALL;
-	return !_is_all_written() && p_now - _taken_at > longest;
+	const duration longest = _shared.writes.is_over() ? MAX_STALL_OVER_BUDGET : MAX_STALL;
+	return !_is_all_written() && p_now - _output_progress_at > longest;
 }
 
 void caller_connection::_on_event(bufferevent *, short p_what, void *p_self) {
@@ -107,8 +107,8 @@
 	}
 	const std::string *expectation = p_head.find("Expect");
 	if (expectation != nullptr && is_same_header(*expectation, "100-continue")) {
-		static constexpr std::string_view GO_ON = "HTTP/1.1 100 Continue\r\n\r\n";
-		bufferevent_write(_stream, GO_ON.data(), GO_ON.size());
+		static constexpr std::string_view CONTINUE_ANSWER = "HTTP/1.1 100 Continue\r\n\r\n";
+		bufferevent_write(_stream, CONTINUE_ANSWER.data(), CONTINUE_ANSWER.size());
 	}
 }
 
@@ -127,7 +127,7 @@
 	_linger(connection_end::REJECTED);
 }
 
-void caller_connection::_note_crossed(std::size_t p_bytes, bool p_was_read) {
+void caller_connection::_report_post_close_input(std::size_t p_bytes, bool p_was_read) {
 	if (p_bytes > 0 && _shared.on_post_close_input) {
 		_shared.on_post_close_input(post_close_input{ _end, event_loop::now() - _ended_at, _ended_at - _idle_since, p_bytes, p_was_read });
 	}
@@ -147,7 +147,7 @@
 		_check_reader();
 	}
 	if (_phase == phase::LINGERING) {
-		_note_crossed(evbuffer_get_length(input), true);
+		_report_post_close_input(evbuffer_get_length(input), true);
 		evbuffer_drain(input, evbuffer_get_length(input));
 	}
 }
@@ -187,7 +187,7 @@
 	_exchange->body = std::move(_body);
 	_exchange->received_at = _request_since;
 	_exchange->rested = _request_since - _idle_since;
-	_exchange->earlier = _handed_over++;
+	_exchange->earlier = _request_count++;
 	_body.clear();
 	const std::shared_ptr<caller_exchange> exchange = _exchange;
 	_shared.on_request(exchange);
@@ -198,7 +198,7 @@
 		return;
 	}
 	_written_at = event_loop::now();
-	if (_phase == phase::ENDED && _is_all_taken()) {
+	if (_phase == phase::ENDED && _is_all_acknowledged()) {
 		close();
 		return;
 	}
@@ -213,14 +213,14 @@
 	if (_phase == phase::ENDED && untaken) {
 		return *untaken == 0;
 	}
-	return p_now - _written_at > LINGER;
+	return p_now - _written_at > LINGER_TIMEOUT;
 }
 
 bool caller_connection::_is_all_written() const {
-	return _get_untaken() == 0;
+	return _get_unsent_bytes() == 0;
 }
 
-bool caller_connection::_is_all_taken() const {
+bool caller_connection::_is_all_acknowledged() const {
 	return _is_all_written() && get_unacknowledged_bytes(bufferevent_getfd(_stream)) == 0U;
 }
 
@@ -251,7 +251,7 @@
 }
 
 caller_connection::caller_connection(caller_connection_shared &p_shared, bufferevent *p_stream) :
-		_shared(p_shared), _stream(p_stream), _reader(http_reader::kind::REQUEST, http_reader::hooks{ [this](const http_head &p_head) { _on_head(p_head); }, [this](std::string_view p_bytes) { _on_body(p_bytes); } }, p_shared.limits.header_bytes), _idle_since(event_loop::now()), _promised_rest(p_shared.limits.idle_timeout) {
+		_shared(p_shared), _stream(p_stream), _reader(http_reader::kind::REQUEST, http_reader::hooks{ [this](const http_head &p_head) { _on_head(p_head); }, [this](std::string_view p_bytes) { _on_body(p_bytes); } }, p_shared.limits.header_bytes), _idle_since(event_loop::now()), _promised_idle_limit(p_shared.limits.idle_timeout) {
 	bufferevent_setcb(_stream, &caller_connection::_on_readable, &caller_connection::_on_drained, &caller_connection::_on_event, this);
 	bufferevent_setwatermark(_stream, EV_READ, 0, MAX_READ_AHEAD);
 	evbuffer_add_cb(bufferevent_get_output(_stream), &caller_connection::_on_output, this);
@@ -274,19 +274,19 @@
 	_has_left_server = true;
 	_forget_request();
 	evbuffer_remove_cb(bufferevent_get_output(_stream), &caller_connection::_on_output, this);
-	_shared.writes.remove(_get_untaken());
+	_shared.writes.remove(_get_unsent_bytes());
 }
 
 void caller_connection::close() {
 	if (_phase == phase::ENDED) {
-		_note_crossed(get_unread_bytes(bufferevent_getfd(_stream)), false);
+		_report_post_close_input(get_unread_bytes(bufferevent_getfd(_stream)), false);
 	}
 	bufferevent_setcb(_stream, nullptr, nullptr, nullptr, nullptr);
 	bufferevent_disable(_stream, EV_READ | EV_WRITE);
 	const std::shared_ptr<caller_exchange> exchange = _exchange;
 	_forget_request();
-	if (exchange && !exchange->_ended && exchange->_on_gone) {
-		exchange->_on_gone();
+	if (exchange && !exchange->_ended && exchange->_on_disconnect) {
+		exchange->_on_disconnect();
 	}
 	_leave_server();
 	_shared.on_closed(*this);
@@ -331,7 +331,7 @@
 
 void caller_connection::write(std::string_view p_bytes) {
 	bufferevent_write(_stream, p_bytes.data(), p_bytes.size());
-	_tell_flow();
+	_update_flow();
 }
 
 bool caller_connection::is_idle() const {
@@ -343,14 +343,14 @@
 }
 
 std::int64_t caller_connection::announce_idle_limit() {
-	_promised_rest = std::min(_shared.limits.idle_timeout, LONGEST_PROMISE);
-	return static_cast<std::int64_t>(to_seconds(_promised_rest) * REST_TOLD);
+	_promised_idle_limit = std::min(_shared.limits.idle_timeout, MAX_PROMISED_IDLE);
+	return static_cast<std::int64_t>(to_seconds(_promised_idle_limit) * ADVERTISED_IDLE_SHARE);
 }
 
 void caller_connection::sweep(instant p_now) {
 	if (_is_stalled(p_now)) {
 		if (_shared.on_slow_reader) {
-			_shared.on_slow_reader(slow_reader{ _get_untaken(), p_now - _taken_at, _shared.writes.get_buffered_bytes() });
+			_shared.on_slow_reader(slow_reader{ _get_unsent_bytes(), p_now - _output_progress_at, _shared.writes.get_buffered_bytes() });
 		}
 		_shared.ended[connection_end::STALLED]++;
 		reset();
@@ -360,7 +360,7 @@
 		if (_may_close(p_now)) {
 			close();
 		}
-	} else if (get_idle_time(p_now) > std::max(_promised_rest, _shared.limits.idle_timeout) && is_idle()) {
+	} else if (get_idle_time(p_now) > std::max(_promised_idle_limit, _shared.limits.idle_timeout) && is_idle()) {
 		close_without_reading(connection_end::IDLE_TIMEOUT);
 	} else if (_is_too_slow(p_now)) {
 		_reject(http_status::REQUEST_TIMEOUT);
--- a/drivers/caller_connection_end.cpp
+++ b/drivers/caller_connection_end.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: caller_connection_end.cpp
- * Why a server ended a caller's connection, and what crossed the end.
+ * Why a server ended a caller's connection, and input that arrived after the end.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
--- a/drivers/caller_exchange.cpp
+++ b/drivers/caller_exchange.cpp
@@ -38,7 +38,7 @@
 		head.keep_alive = false;
 		text += "Connection: close\r\n";
 	} else if (const std::int64_t seconds = _connection->announce_idle_limit(); seconds > 0) {
-		// Callers of the protocol's first version keep a connection only when they are told so.
+		// HTTP/1.0 callers keep a connection only if the answer says so explicitly.
 		text += is_plain_old ? "Connection: keep-alive\r\n" : "";
 		text += "Keep-Alive: timeout=" + std::to_string(seconds) + "\r\n";
 	}
@@ -108,7 +108,7 @@
 		return;
 	}
 	_ended = true;
-	// A body that ends with the connection would look whole after an orderly close, so this one is reset.
+	// A body that is delimited by the close would look complete after an orderly close, so the connection is reset.
 	if (_ends_with_connection) {
 		_connection->reset();
 		return;
--- a/drivers/caller_server.cpp
+++ b/drivers/caller_server.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: caller_server.cpp
- * Serves callers over HTTP/1.1: whole requests in, answers out as they come.
+ * Serves callers over HTTP/1.1: reads complete requests and streams answers.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -60,7 +60,7 @@
 	if (found == _connections.end()) {
 		return;
 	}
-	// Freed from the loop, as this may run inside one of the connection's own callbacks.
+	// Freed in a later turn of the loop, because this may run inside one of the connection's own callbacks.
 	std::shared_ptr<caller_connection> removed = std::move(*found);
 	_connections.erase(found);
 	_loop.post([removed] {});
@@ -91,12 +91,12 @@
 	}
 }
 
-void caller_server::close_idle(duration p_rest) {
+void caller_server::close_idle(duration p_min_idle) {
 	const instant now = event_loop::now();
-	// From the end, as a connection that is closed at once leaves the list. An idle one carries no request, so nobody else is told.
+	// Iterates backwards, because a connection that closes immediately is removed from the list. An idle one has no request, so no disconnect hook runs.
 	for (std::size_t i = _connections.size(); i > 0; i--) {
 		caller_connection &entry = *_connections[i - 1];
-		if (entry.get_idle_time(now) >= p_rest && entry.is_idle()) {
+		if (entry.get_idle_time(now) >= p_min_idle && entry.is_idle()) {
 			entry.close_without_reading(connection_end::STOPPING);
 		}
 	}
--- a/drivers/caller_server.h
+++ b/drivers/caller_server.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: caller_server.h
- * Serves callers over HTTP/1.1: whole requests in, answers out as they come.
+ * Serves callers over HTTP/1.1: reads complete requests and streams answers.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -20,7 +20,7 @@
 
 namespace calicoscale {
 
-/** A listening server. One request at a time on a connection; the next is read when its answer is out. */
+/** A listening server. Handles one request at a time on a connection; the next is read after the answer has been written. */
 class caller_server {
 	event_loop &_loop;
 	caller_connection_shared _shared;
@@ -31,13 +31,13 @@
 
 	static void _on_accept(evconnlistener *p_listener, int p_socket, sockaddr *p_from, int p_size, void *p_self);
 	void _sweep();
-	/** Takes connections that wait to be accepted: closing the listener would reset them. */
+	/** Accepts pending connections: closing the listener would reset them. */
 	void _accept_waiting();
 	void _drop(caller_connection &p_connection);
 
 public:
 	/**
-	 * Listens at once.
+	 * Starts to listen.
 	 * @throws std::runtime_error when the address cannot be bound.
 	 */
 	caller_server(event_loop &p_loop, const network_address &p_address, const caller_server_limits &p_limits, std::function<void(const std::shared_ptr<caller_exchange> &)> p_handler);
@@ -45,37 +45,37 @@
 	caller_server(const caller_server &) = delete;
 	caller_server &operator=(const caller_server &) = delete;
 
-	/** Puts limits in force for requests that begin from now on. */
+	/** Sets the limits, which apply to open connections too. */
 	void set_limits(const caller_server_limits &p_limits) { _shared.limits = p_limits; }
 
-	/** Answers from now on tell the caller that the connection ends with them. */
+	/** Makes each further answer close its connection, with "Connection: close". */
 	void announce_close() { _shared.is_closing = true; }
 
-	/** Closes connections that have rested for so long without a request. What crosses the close is not read but reset. */
-	void close_idle(duration p_rest);
+	/** Closes connections that have been idle for at least this long. Input that arrives after the close is not read but reset. */
+	void close_idle(duration p_min_idle);
 
-	/** Stops accepting connections, but for those that wait for it already; those that carry no request are closed. */
+	/** Stops listening after accepting the connections already pending; closes connections without a request. */
 	void stop_listening();
 
-	/** Sets what is told of callers' bytes that crossed an end of this side. */
+	/** Sets a hook that receives input which arrived after this side ended a connection. */
 	void set_on_post_close_input(std::function<void(const post_close_input &)> p_hook) { _shared.on_post_close_input = std::move(p_hook); }
 
-	/** Sets what is told of callers that did not take their answers. */
+	/** Sets a hook that is called when a connection is reset because its caller does not read its answer. */
 	void set_on_slow_reader(std::function<void(const slow_reader &)> p_hook) { _shared.on_slow_reader = std::move(p_hook); }
 
-	/** Sets how much may wait to be written to all callers together, in bytes. */
+	/** Sets the limit on output buffered for all callers together, in bytes. */
 	void set_write_budget(std::size_t p_bytes) { _shared.writes = write_budget(p_bytes); }
 
-	/** Bytes that wait to be written to callers. */
+	/** Number of bytes buffered for all callers. */
 	std::size_t get_buffered_bytes() const { return _shared.writes.get_buffered_bytes(); }
 
-	/** Connections that this side ended, by cause. */
+	/** Number of connections that this side ended, by cause. */
 	const std::map<connection_end, std::size_t> &get_ended() const { return _shared.ended; }
 
 	const network_address &get_address() const { return _address; }
 	std::size_t get_open_requests() const { return _shared.open_requests; }
 	std::size_t get_connection_count() const { return _connections.size(); }
-	/** Requests refused as malformed or over a limit. */
+	/** Number of requests rejected as malformed or over a limit. */
 	std::size_t get_rejected() const { return _shared.rejected; }
 };
 
