--- a/drivers/activity_scope.h
+++ b/drivers/activity_scope.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: activity_scope.h
- * Books the time of a block to an activity of its loop.
+ * Records the time of a block under an activity of its loop.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -13,7 +13,7 @@
 
 namespace calicoscale {
 
-/** Books the time from its making to its end. */
+/** Records the time from its construction to its destruction under an activity. */
 class activity_scope {
 	event_loop &_loop;
 
--- a/drivers/caller_connection.cpp
+++ b/drivers/caller_connection.cpp
@@ -73,8 +73,8 @@
 }
 
 void caller_connection::_update_flow() {
-	const std::size_t untaken = _get_unsent_bytes();
-	const bool is_full = _is_full ? !_shared.writes.has_capacity(untaken) : _shared.writes.is_full(untaken);
+	const std::size_t outstanding = _get_unsent_bytes();
+	const bool is_full = _is_full ? !_shared.writes.has_capacity(outstanding) : _shared.writes.is_full(outstanding);
 	if (is_full == _is_full) {
 		return;
 	}
@@ -89,8 +89,8 @@
 }
 
 bool caller_connection::_is_stalled(instant p_now) const {
-	const duration longest = _shared.writes.is_over() ? MAX_STALL_OVER_BUDGET : MAX_STALL;
-	return !_is_all_written() && p_now - _output_progress_at > longest;
+	const duration limit = _shared.writes.is_over() ? MAX_STALL_OVER_BUDGET : MAX_STALL;
+	return !_is_all_written() && p_now - _output_progress_at > limit;
 }
 
 void caller_connection::_on_event(bufferevent *, short p_what, void *p_self) {
@@ -142,8 +142,8 @@
 			_request_since = event_loop::now();
 			_reader.set_max_header_bytes(_shared.limits.header_bytes);
 		}
-		const std::size_t taken = _reader.feed(std::string_view(bytes, size));
-		evbuffer_drain(input, taken);
+		const std::size_t consumed = _reader.feed(std::string_view(bytes, size));
+		evbuffer_drain(input, consumed);
 		_check_reader();
 	}
 	if (_phase == phase::LINGERING) {
@@ -167,11 +167,11 @@
 			_reject(http_status::HEADERS_TOO_LARGE);
 			return;
 		case http_reader::state::COMPLETE:
-			_hand_over();
+			_deliver_request();
 	}
 }
 
-void caller_connection::_hand_over() {
+void caller_connection::_deliver_request() {
 	const http_head &head = _reader.get_head();
 	if (head.target.empty() || head.target.front() != '/' || (head.find("Host") == nullptr && head.minor_version > 0)) {
 		_reject(http_status::BAD_REQUEST);
@@ -209,9 +209,9 @@
 	if (!_is_all_written()) {
 		return false;
 	}
-	const std::optional<std::size_t> untaken = get_unacknowledged_bytes(bufferevent_getfd(_stream));
-	if (_phase == phase::ENDED && untaken) {
-		return *untaken == 0;
+	const std::optional<std::size_t> outstanding = get_unacknowledged_bytes(bufferevent_getfd(_stream));
+	if (_phase == phase::ENDED && outstanding) {
+		return *outstanding == 0;
 	}
 	return p_now - _written_at > LINGER_TIMEOUT;
 }
@@ -224,11 +224,11 @@
 	return _is_all_written() && get_unacknowledged_bytes(bufferevent_getfd(_stream)) == 0U;
 }
 
-bool caller_connection::_has_waiting_bytes() const {
+bool caller_connection::_has_unread_bytes() const {
 	return evbuffer_get_length(bufferevent_get_input(_stream)) > 0 || get_unread_bytes(bufferevent_getfd(_stream)) > 0;
 }
 
-void caller_connection::_note_end(connection_end p_end) {
+void caller_connection::_record_end(connection_end p_end) {
 	_end = p_end;
 	_ended_at = event_loop::now();
 	_shared.ended[p_end]++;
@@ -239,7 +239,7 @@
 	return _reader.has_head() ? limits.header_timeout + limits.idle_timeout : limits.header_timeout;
 }
 
-void caller_connection::_forget_request() {
+void caller_connection::_release_request() {
 	if (_is_open_request) {
 		_is_open_request = false;
 		_shared.open_requests--;
@@ -272,7 +272,7 @@
 		return;
 	}
 	_has_left_server = true;
-	_forget_request();
+	_release_request();
 	evbuffer_remove_cb(bufferevent_get_output(_stream), &caller_connection::_on_output, this);
 	_shared.writes.remove(_get_unsent_bytes());
 }
@@ -284,7 +284,7 @@
 	bufferevent_setcb(_stream, nullptr, nullptr, nullptr, nullptr);
 	bufferevent_disable(_stream, EV_READ | EV_WRITE);
 	const std::shared_ptr<caller_exchange> exchange = _exchange;
-	_forget_request();
+	_release_request();
 	if (exchange && !exchange->_ended && exchange->_on_disconnect) {
 		exchange->_on_disconnect();
 	}
@@ -304,19 +304,19 @@
 
 void caller_connection::_linger(connection_end p_end) {
 	_phase = phase::LINGERING;
-	_note_end(p_end);
+	_record_end(p_end);
 	_continue_end();
 }
 
 void caller_connection::close_without_reading(connection_end p_end) {
 	_phase = phase::ENDED;
-	_note_end(p_end);
+	_record_end(p_end);
 	bufferevent_disable(_stream, EV_READ);
 	_continue_end();
 }
 
 void caller_connection::finish(std::optional<connection_end> p_end) {
-	_forget_request();
+	_release_request();
 	_idle_since = event_loop::now();
 	if (p_end) {
 		_linger(*p_end);
@@ -335,11 +335,11 @@
 }
 
 bool caller_connection::is_idle() const {
-	return _phase == phase::READING && !_reader.has_begun() && _is_all_written() && !_has_waiting_bytes();
+	return _phase == phase::READING && !_reader.has_begun() && _is_all_written() && !_has_unread_bytes();
 }
 
 bool caller_connection::_is_too_slow(instant p_now) const {
-	return _phase == phase::READING && _reader.has_begun() && p_now - _request_since > _get_reading_limit() && !_has_waiting_bytes();
+	return _phase == phase::READING && _reader.has_begun() && p_now - _request_since > _get_reading_limit() && !_has_unread_bytes();
 }
 
 std::int64_t caller_connection::announce_idle_limit() {
--- a/drivers/caller_connection.h
+++ b/drivers/caller_connection.h
@@ -106,15 +106,15 @@
 	/** Reads the available input up to the end of one request. */
 	void _read();
 	void _check_reader();
-	void _hand_over();
+	void _deliver_request();
 	void _reject(int p_status);
-	void _forget_request();
+	void _release_request();
 	/** Removes this connection from the server's counters; the server's state is not used afterwards. */
 	void _leave_server();
 
 	/** Reports bytes that arrived after this side ended the connection. */
 	void _report_post_close_input(std::size_t p_bytes, bool p_was_read);
-	void _note_end(connection_end p_end);
+	void _record_end(connection_end p_end);
 
 	/** Sends the remaining output, then waits for the caller to close. */
 	void _linger(connection_end p_end);
@@ -137,7 +137,7 @@
 	bool _is_all_acknowledged() const;
 
 	/** Whether unread bytes wait in the socket: after a process stall the loop runs timers before it reads sockets. */
-	bool _has_waiting_bytes() const;
+	bool _has_unread_bytes() const;
 
 	/** Returns the time limit for reading the request: that of the head, plus the idle limit once the head is complete. */
 	duration _get_reading_limit() const;
--- a/drivers/caller_exchange.cpp
+++ b/drivers/caller_exchange.cpp
@@ -18,8 +18,8 @@
 namespace calicoscale {
 
 void caller_exchange::_write_head(int p_status, const std::vector<http_header> &p_headers, std::optional<std::size_t> p_length) {
-	const bool is_plain_old = head.minor_version == 0;
-	_chunked = !p_length && !is_plain_old;
+	const bool is_http_1_0 = head.minor_version == 0;
+	_chunked = !p_length && !is_http_1_0;
 	std::string text = "HTTP/1.1 " + std::to_string(p_status) + " " + std::string(get_reason_phrase(p_status)) + "\r\n";
 	for (const http_header &header : p_headers) {
 		text += header.name + ": " + header.value + "\r\n";
@@ -33,13 +33,13 @@
 	if (_ends_with_connection) {
 		_connection->set_reset_on_close(true);
 	}
-	const bool is_last = _connection->is_closing() || !head.keep_alive || (!p_length && is_plain_old);
+	const bool is_last = _connection->is_closing() || !head.keep_alive || (!p_length && is_http_1_0);
 	if (is_last) {
 		head.keep_alive = false;
 		text += "Connection: close\r\n";
 	} else if (const std::int64_t seconds = _connection->announce_idle_limit(); seconds > 0) {
 		// HTTP/1.0 callers keep a connection only if the answer says so explicitly.
-		text += is_plain_old ? "Connection: keep-alive\r\n" : "";
+		text += is_http_1_0 ? "Connection: keep-alive\r\n" : "";
 		text += "Keep-Alive: timeout=" + std::to_string(seconds) + "\r\n";
 	}
 	text += "\r\n";
--- a/drivers/caller_server.h
+++ b/drivers/caller_server.h
@@ -45,7 +45,7 @@
 	caller_server(const caller_server &) = delete;
 	caller_server &operator=(const caller_server &) = delete;
 
-	/** Sets the limits, which apply to open connections too. */
+	/** Sets the limits, for open connections too; the header limit takes effect with a connection's next request. */
 	void set_limits(const caller_server_limits &p_limits) { _shared.limits = p_limits; }
 
 	/** Makes each further answer close its connection, with "Connection: close". */
--- a/drivers/event_log.cpp
+++ b/drivers/event_log.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: event_log.cpp
- * Structured lines on standard output, bounded and never blocking.
+ * Structured log lines on standard output; bounded and non-blocking.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,13 +18,13 @@
 namespace {
 
 constexpr duration FLUSH_INTERVAL = std::chrono::milliseconds(200);
-/** A list of 32 ids of requests fits; names and messages from outside may be of any length. */
-constexpr std::size_t LONGEST_VALUE = 2000;
-constexpr std::size_t MOST_BUFFERED_BYTES = 256 * 1024;
-/** Lines a second about requests: about ten lines each for some tens of requests; what is above it is counted, not written. */
+/** Fits a list of 32 request ids; names and messages from outside may have any length. */
+constexpr std::size_t MAX_VALUE_BYTES = 2000;
+constexpr std::size_t MAX_LOG_BUFFER_BYTES = 256 * 1024;
+/** Rate limit for lines about requests: about ten lines each for some tens of requests a second; lines above it are counted, not written. */
 constexpr double REQUEST_LINES_PER_SECOND = 300.0;
 constexpr double REQUEST_LINES_BURST = 600.0;
-/** Lines carry the steady clock only; this often one tells the time of day beside it, for reading logs of many nodes together. */
+/** Interval of lines with the wall time. Other lines contain only the time since boot; these allow logs of several nodes to be aligned. */
 constexpr duration CLOCK_INTERVAL = std::chrono::seconds(30);
 
 } // namespace
@@ -38,11 +38,11 @@
 	_text += ' ';
 	_text += p_key;
 	_text += '=';
-	for (const char letter : p_value.substr(0, LONGEST_VALUE)) {
-		// A value from outside must not start a line or a pair of its own.
+	for (const char letter : p_value.substr(0, MAX_VALUE_BYTES)) {
+		// A value from outside must not inject a line or a key=value pair.
 		_text += letter <= ' ' || letter == '=' || letter >= 127 ? '_' : letter;
 	}
-	_text += p_value.size() > LONGEST_VALUE ? "..." : "";
+	_text += p_value.size() > MAX_VALUE_BYTES ? "..." : "";
 	return *this;
 }
 
@@ -67,7 +67,7 @@
 }
 
 void event_log::_add(const log_line &p_line) {
-	if (_buffer.size() + p_line.get_text().size() > MOST_BUFFERED_BYTES) {
+	if (_buffer.size() + p_line.get_text().size() > MAX_LOG_BUFFER_BYTES) {
 		_dropped++;
 		return;
 	}
@@ -75,8 +75,8 @@
 		_flush_timer.set(FLUSH_INTERVAL);
 	}
 	const instant now = event_loop::now();
-	if (now - _clock_told_at > CLOCK_INTERVAL) {
-		_clock_told_at = now;
+	if (now - _clock_written_at > CLOCK_INTERVAL) {
+		_clock_written_at = now;
 		_append(log_line("clock").add("wall_ms", static_cast<long long>(event_loop::wall())));
 	}
 	_append(p_line);
@@ -96,9 +96,9 @@
 
 void event_log::_flush() {
 	const activity_scope scope(_loop, activity::LOG);
-	if (_dropped > _dropped_told) {
-		_append(log_line("log_lines_dropped").add("count", static_cast<long long>(_dropped - _dropped_told)));
-		_dropped_told = _dropped;
+	if (_dropped > _dropped_reported) {
+		_append(log_line("log_lines_dropped").add("count", static_cast<long long>(_dropped - _dropped_reported)));
+		_dropped_reported = _dropped;
 	}
 	const ssize_t written = ::write(STDOUT_FILENO, _buffer.data(), _buffer.size());
 	if (written > 0) {
--- a/drivers/event_log.h
+++ b/drivers/event_log.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: event_log.h
- * Structured lines on standard output, bounded and never blocking.
+ * Structured log lines on standard output; bounded and non-blocking.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -32,17 +32,17 @@
 };
 
 /**
- * Writes lines in batches. Lines about requests are limited in rate, and all lines are dropped, and counted, while
- * nobody reads them: writing a log must never hold a request up.
+ * Writes lines in batches. Lines about requests are rate-limited. While standard output is not read and the buffer is
+ * full, all lines are dropped and counted: logging must never block a request.
  */
 class event_log {
 	event_loop &_loop;
 	std::string _buffer;
 	token_bucket _request_lines;
 	timer _flush_timer;
-	instant _clock_told_at{};
+	instant _clock_written_at{};
 	std::uint64_t _dropped = 0;
-	std::uint64_t _dropped_told = 0;
+	std::uint64_t _dropped_reported = 0;
 
 	void _append(const log_line &p_line);
 	void _add(const log_line &p_line);
@@ -52,10 +52,10 @@
 	explicit event_log(event_loop &p_loop);
 	~event_log();
 
-	/** A line about a request; dropped above the rate. */
+	/** Writes a line about a request; drops it above the rate limit. */
 	void write_request(const log_line &p_line);
 
-	/** A line about the process or what it believes. */
+	/** Writes a line about the process or its view of other nodes. */
 	void write(const log_line &p_line);
 
 	std::uint64_t get_dropped() const { return _dropped; }
--- a/drivers/event_loop.cpp
+++ b/drivers/event_loop.cpp
@@ -23,18 +23,18 @@
 
 namespace {
 
-constexpr int PRIORITY_COUNT_OF_LOOP = 3;
+constexpr int LOOP_PRIORITY_COUNT = 3;
 constexpr int TIMER_PRIORITY = 0;
 constexpr int POSTED_PRIORITY = 0;
-/** Behind sockets, which have the one in between. */
+/** After sockets, which have the priority in between. */
 constexpr int READ_PRIORITY = 2;
-/** Under load something is always left to read; what waited for the process is read within this. */
-constexpr duration LONGEST_READING = std::chrono::milliseconds(20);
+/** Time limit for reading after a process stall: under load there is always more input to read. */
+constexpr duration MAX_READ_FIRST_TIME = std::chrono::milliseconds(20);
 /**
- * libevent waits by a clock that stands still while the VM is suspended, so what is due at waking is noticed this much later
- * at most. Loops of entry nodes have timers more often than that anyhow.
+ * libevent waits by a clock that stops while the VM is suspended, so a timer that is due on resumption is noticed at most this
+ * much later. The loops of entry nodes have timers more often than that.
  */
-constexpr duration LONGEST_SLEEP = std::chrono::milliseconds(100);
+constexpr duration MAX_SLEEP = std::chrono::milliseconds(100);
 
 instant read_clock(clockid_t p_clock) {
 	timespec time{};
@@ -43,7 +43,7 @@
 }
 
 clock_reading read_clocks() {
-	// The steady clock is read only to tell a suspension from a pause.
+	// The steady clock is read only to distinguish a suspension of the VM from a pause of the process.
 	return clock_reading{ read_clock(CLOCK_BOOTTIME), read_clock(CLOCK_MONOTONIC) };
 }
 
@@ -58,7 +58,7 @@
 	if (base == nullptr) {
 		throw std::runtime_error("cannot create an event loop");
 	}
-	event_base_priority_init(base, PRIORITY_COUNT_OF_LOOP);
+	event_base_priority_init(base, LOOP_PRIORITY_COUNT);
 	return base;
 }
 
@@ -98,7 +98,7 @@
 
 void event_loop::run() {
 	event_base_loop(_base.get(), EVLOOP_NO_EXIT_ON_EMPTY);
-	// A posted hook may hold an object whose owner is gone by the time the loop is.
+	// No hook may remain: it may hold an object whose owner is destroyed before the loop.
 	_run_posted();
 }
 
@@ -162,7 +162,7 @@
 		return;
 	}
 	const instant now_at = now();
-	_armed_for = std::min(*next, now_at + LONGEST_SLEEP);
+	_armed_for = std::min(*next, now_at + MAX_SLEEP);
 	const timeval delay = to_timeval(_armed_for - now_at);
 	evtimer_add(_timer_event.get(), &delay);
 }
@@ -173,11 +173,11 @@
 
 void event_loop::_run_timers() {
 	const clock_reading clocks = read_clocks_or_replaced();
-	_alarm.put_off(clocks.since_boot);
+	_alarm.postpone(clocks.since_boot);
 	const duration late = _armed_for == instant{} ? duration::zero() : clocks.since_boot - _armed_for;
-	const process_stall stood_still = _hold_ups.note(clocks, late);
-	if (stood_still.late > duration::zero() && !_is_reading_first) {
-		_read_first(stood_still);
+	const process_stall stall = _stall_detector.note(clocks, late);
+	if (stall.late > duration::zero() && !_is_reading_first) {
+		_read_first(stall);
 	}
 	_run_due(clocks.since_boot);
 	_arm();
@@ -187,22 +187,22 @@
 	for (std::optional<std::uint64_t> due = _queue.take_due(_is_reading_first, p_now); due; due = _queue.take_due(_is_reading_first, p_now)) {
 		_due.push_back(*due);
 	}
-	// What a hook sets anew waits for the next turn, and what it cancels does not run any more.
+	// A timer that a hook sets again waits for the next turn; one that a hook cancels does not run.
 	while (!_due.empty()) {
 		const auto found = _timers.find(_due.front());
 		_due.pop_front();
-		timer &ended = *found->second;
+		timer &expired = *found->second;
 		_timers.erase(found);
 		const activity_scope scope(*this, activity::TIMERS);
-		ended._hook();
+		expired._hook();
 	}
 }
 
-void event_loop::_read_first(const process_stall &p_hold_up) {
+void event_loop::_read_first(const process_stall &p_stall) {
 	_is_reading_first = true;
-	_held_up.emit(p_hold_up);
+	_stalled.emit(p_stall);
 	event_active(_read_event.get(), 0, 0);
-	const timeval limit = to_timeval(LONGEST_READING);
+	const timeval limit = to_timeval(MAX_READ_FIRST_TIME);
 	evtimer_add(_read_limit_event.get(), &limit);
 }
 
--- a/drivers/event_loop.h
+++ b/drivers/event_loop.h
@@ -35,10 +35,11 @@
 using clock_reader = clock_reading (*)();
 
 /**
- * Owns the libevent base and the timers. Timers go by the time since boot, which counts the time in which the VM was
- * suspended; libevent's own do not. Timers run before sockets in each turn: after a pause of the process an attempt whose
- * time has passed is cancelled before its connection can write. Where the process stood still, timers that judge others wait
- * until what came meanwhile was read, or it would take them for silent by its own absence.
+ * Owns the libevent base and the timers. Timers use the time since boot, which includes the time in which the VM was
+ * suspended; libevent's own timers don't. Timers run before sockets in each turn: after a pause of the process an attempt whose
+ * time-out has passed is cancelled before its connection can write. After a process stall, timers of the order AFTER_SOCKETS,
+ * among them those that judge other nodes, are deferred until the input that arrived during the stall has been read; otherwise
+ * the process would take peers for silent because of its own stall.
  */
 class event_loop {
 	friend class timer;
@@ -52,19 +53,19 @@
 
 	std::unique_ptr<event_base, base_deleter> _base;
 	std::unique_ptr<event, event_deleter> _posted_event;
-	std::unique_ptr<event, event_deleter> _timer_event; ///< For the timer that is due next.
-	std::unique_ptr<event, event_deleter> _read_event; ///< Runs when nothing is left to read.
-	std::unique_ptr<event, event_deleter> _read_limit_event; ///< Or after this, under load.
+	std::unique_ptr<event, event_deleter> _timer_event; ///< Fires for the timer that is due next.
+	std::unique_ptr<event, event_deleter> _read_event; ///< Fires when no input is left to read.
+	std::unique_ptr<event, event_deleter> _read_limit_event; ///< Ends the reading after a time limit, under load.
 	suspension_alarm _alarm;
 	timer_queue _queue;
-	std::map<std::uint64_t, timer *> _timers; ///< That are set.
+	std::map<std::uint64_t, timer *> _timers; ///< Timers that are set, by id.
 	std::deque<std::uint64_t> _due; ///< Timers whose hooks are still to run in this turn.
 	std::uint64_t _next_timer = 1;
-	instant _armed_for{}; ///< When the event of the timers is to come; zero for never.
-	bool _is_reading_first = false; ///< The process stood still, and what came meanwhile is read now.
-	stall_detector _hold_ups;
+	instant _armed_for{}; ///< When the timer event fires; zero if it isn't set.
+	bool _is_reading_first = false; ///< After a process stall, while the input that arrived during it is read.
+	stall_detector _stall_detector;
 	work_meter _meter;
-	sigc::signal<void(const process_stall &)> _held_up;
+	sigc::signal<void(const process_stall &)> _stalled;
 	std::vector<std::unique_ptr<event, event_deleter>> _signal_events;
 	std::vector<std::function<void()>> _posted;
 	sigc::signal<void(int)> _signal_received;
@@ -79,7 +80,7 @@
 	void _arm();
 	void _run_timers();
 	void _run_due(instant p_now);
-	void _read_first(const process_stall &p_hold_up);
+	void _read_first(const process_stall &p_stall);
 
 public:
 	event_loop();
@@ -87,7 +88,7 @@
 	event_loop(const event_loop &) = delete;
 	event_loop &operator=(const event_loop &) = delete;
 
-	/** Runs until stop(), and what was posted until then. */
+	/** Runs until stop(), then runs the hooks that were posted by then. */
 	void run();
 
 	/** Handles what is due now and returns without waiting. */
@@ -99,28 +100,28 @@
 	/** Runs the hook in a coming turn of the loop, outside any callback. */
 	void post(std::function<void()> p_hook);
 
-	/** Starts to watch a process signal; signal_received tells when it comes. */
+	/** Starts to watch a process signal; signal_received() is emitted when it arrives. */
 	void watch_signal(int p_signal);
 
 	/** Emitted with the number of a watched signal. */
 	sigc::signal<void(int)> &signal_received() { return _signal_received; }
 
-	/** Looks at the time, and runs what is due. Done by itself at waking, before any socket is read or written. */
+	/** Reads the clocks and runs timers that are due. The loop does so by itself when it wakes, before any socket is read or written. */
 	void run_due_timers() { _run_timers(); }
 
-	/** Emitted when the process stood still, before anything is judged by the time that has passed. */
-	sigc::signal<void(const process_stall &)> &stalled() { return _held_up; }
+	/** Emitted after a process stall, before any timer runs. */
+	sigc::signal<void(const process_stall &)> &stalled() { return _stalled; }
 
-	/** Time since boot now; never steps. */
+	/** Current time since boot; never steps. */
 	static instant now();
 
-	/** Replaces the clocks, for tests; null takes those of the VM again. */
+	/** Replaces the clocks, for tests; null restores those of the VM. */
 	static void set_clock_reader(clock_reader p_reader);
 
-	/** Wall time now. */
+	/** Current wall time. */
 	static unix_milliseconds wall();
 
-	/** What the loop spends its time on; activity_scope books to it. */
+	/** Records the time that the loop spends on each activity; filled by activity_scope. */
 	work_meter &get_meter() { return _meter; }
 
 	event_base *get_base() const { return _base.get(); }
@@ -141,13 +142,12 @@
 	timer(const timer &) = delete;
 	timer &operator=(const timer &) = delete;
 
-	/** Runs the hook once after the delay; replaces an earlier time. */
+	/** Runs the hook once after the delay; replaces any time set before. */
 	void set(duration p_delay);
 
-	/** Runs the hook once at the time, or at once when it has passed. */
+	/** Runs the hook once at the given time, or in the next turn if it has passed. */
 	void set_at(instant p_at);
 
-	/** Forgets the time set. */
 	void cancel();
 };
 
--- a/drivers/http_client.cpp
+++ b/drivers/http_client.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: http_client.cpp
- * HTTP calls by evhttp, with the one fact that matters: whether any byte was handed over.
+ * HTTP calls by evhttp; a failure tells whether any byte was handed to the socket.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -21,8 +21,8 @@
 
 namespace {
 
-constexpr std::size_t MOST_IDLE_PER_ADDRESS = 16;
-constexpr duration LONGEST_IDLE = std::chrono::seconds(20);
+constexpr std::size_t MAX_IDLE_PER_ADDRESS = 16;
+constexpr duration MAX_IDLE_TIME = std::chrono::seconds(20);
 constexpr int STATUS_OK = 200;
 
 struct connection_deleter {
@@ -81,7 +81,7 @@
 	evbuffer *_output = nullptr;
 	http_hooks _hooks;
 	http_failure _failure = http_failure::LOST;
-	bool _handed_over = false;
+	bool _has_sent_bytes = false;
 	bool _in_callback = false;
 	std::string _error_body;
 	std::size_t _received = 0;
@@ -89,7 +89,7 @@
 	static void _on_output_change(evbuffer *, const evbuffer_cb_info *p_info, void *p_self) {
 		call_state &self = *static_cast<call_state *>(p_self);
 		if (p_info->n_deleted > 0) {
-			self._handed_over = true;
+			self._has_sent_bytes = true;
 			self._client._bytes_sent += p_info->n_deleted;
 		}
 	}
@@ -131,15 +131,15 @@
 		http_result result;
 		const bool has_answer = p_request != nullptr && evhttp_request_get_response_code(p_request) != 0;
 		if (!has_answer) {
-			result.failure = self._handed_over ? self._failure : http_failure::CONNECT_FAILED;
+			result.failure = self._has_sent_bytes ? self._failure : http_failure::CONNECT_FAILED;
 			self._client._end(self._id, result, false);
 			return;
 		}
 		result.status = evhttp_request_get_response_code(p_request);
 		result.headers = read_headers(p_request);
-		const std::string rest = take_all(evhttp_request_get_input_buffer(p_request));
-		self._received += rest.size();
-		result.body = self._error_body + rest;
+		const std::string remainder = take_all(evhttp_request_get_input_buffer(p_request));
+		self._received += remainder.size();
+		result.body = self._error_body + remainder;
 		result.has_length = !result.find_header("Content-Length").empty() || !result.find_header("Transfer-Encoding").empty();
 		self._client._bytes_received += self._received;
 		const bool keep = result.has_length && strcasecmp(result.find_header("Connection").c_str(), "close") != 0;
@@ -184,7 +184,7 @@
 		evhttp_connection_set_max_headers_size(_connection.get(), 64 * 1024);
 		const evhttp_cmd_type command = p_call.is_post ? EVHTTP_REQ_POST : EVHTTP_REQ_GET;
 		if (evhttp_make_request(_connection.get(), _request, command, p_call.path.c_str()) != 0 && _request != nullptr) {
-			// No socket could be had; evhttp forgot the request without calling back.
+			// No socket could be created; evhttp freed the request without a callback.
 			_request = nullptr;
 			http_result result;
 			result.failure = http_failure::CONNECT_FAILED;
@@ -242,7 +242,7 @@
 	auto state = std::make_unique<call_state>(*this, id, address, std::move(connection), std::move(p_hooks));
 	call_state &call = *state;
 	_calls.emplace(id, std::move(state));
-	// Sent from the loop, so that hooks never run inside start().
+	// Sent in a later turn of the loop, so that hooks never run inside start().
 	_loop.post([this, id, p_call, &call] {
 		if (_calls.contains(id)) {
 			call.send(p_call);
@@ -259,10 +259,10 @@
 	std::shared_ptr<call_state> call = std::move(found->second);
 	_calls.erase(found);
 	call->detach();
-	// evhttp still uses the connection after this callback, so it is kept or freed from the loop.
+	// evhttp still uses the connection after this callback, so it is kept or freed in a later turn of the loop.
 	_loop.post([this, call, p_keep] {
 		std::vector<idle_connection> &idle = _idle[call->get_address()];
-		if (p_keep && idle.size() < MOST_IDLE_PER_ADDRESS) {
+		if (p_keep && idle.size() < MAX_IDLE_PER_ADDRESS) {
 			idle.push_back(idle_connection{ call->take_connection(), event_loop::now() });
 		}
 	});
@@ -279,7 +279,7 @@
 	std::shared_ptr<call_state> call = std::move(found->second);
 	_calls.erase(found);
 	if (call->is_in_callback()) {
-		// Inside its own callback the request must not be cancelled: evhttp would go on with freed memory.
+		// A request must not be cancelled inside its own callback: evhttp would continue with freed memory.
 		call->detach();
 		_loop.post([call] { call->abort(); });
 		return;
@@ -291,7 +291,7 @@
 void http_client::drop_old_connections() {
 	const instant now = event_loop::now();
 	for (auto &[address, idle] : _idle) {
-		std::erase_if(idle, [now](const idle_connection &p_idle) { return now - p_idle.since > LONGEST_IDLE; });
+		std::erase_if(idle, [now](const idle_connection &p_idle) { return now - p_idle.since > MAX_IDLE_TIME; });
 	}
 	std::erase_if(_idle, [](const auto &p_entry) { return p_entry.second.empty(); });
 }
--- a/drivers/http_client.h
+++ b/drivers/http_client.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: http_client.h
- * HTTP calls by evhttp, with the one fact that matters: whether any byte was handed over.
+ * HTTP calls by evhttp; a failure tells whether any byte was handed to the socket.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -34,36 +34,36 @@
 	std::string path;
 	std::vector<http_header> headers;
 	std::string body;
-	duration timeout = std::chrono::seconds(5); ///< Without any progress on the connection.
-	bool fresh_connection = false; ///< Never reuse a kept-alive connection, which may be closed under the call.
+	duration timeout = std::chrono::seconds(5); ///< Longest time without progress on the connection.
+	bool fresh_connection = false; ///< Never reuse a kept-alive connection, which the peer may close during the call.
 	std::size_t largest_answer = 8 * 1024 * 1024;
 };
 
 /** How a call failed. */
 enum class http_failure {
 	NONE,
-	CONNECT_FAILED, ///< Not one byte was handed to a connected socket.
-	LOST, ///< Broken off before the answer was complete.
+	CONNECT_FAILED, ///< No byte was handed to a connected socket.
+	LOST, ///< The connection failed before the answer was complete.
 	TIMED_OUT,
 	MALFORMED,
 };
 
-/** How a call ended. */
+/** Outcome of a call. */
 struct http_result {
 	http_failure failure = http_failure::NONE;
 	int status = 0;
 	std::vector<http_header> headers;
 	std::string body;
-	bool has_length = false; ///< The answer told its length or was chunked, so that it is known to be whole.
+	bool has_length = false; ///< The answer had a length or was chunked, so that it is known to be complete.
 
-	/** Value of a header, compared without case; empty when absent. */
+	/** Returns the value of a header (name compared case-insensitively); empty when absent. */
 	std::string find_header(std::string_view p_name) const;
 };
 
-/** What a call reports. Either may be empty. */
+/** Hooks of a call. Either may be empty. */
 struct http_hooks {
-	std::function<void(std::string_view p_chunk)> on_chunk; ///< Parts of a 200 answer's body as they come; the body then stays empty.
-	std::function<void(const http_result &p_result)> on_end; ///< Exactly once, unless cancelled.
+	std::function<void(std::string_view p_chunk)> on_chunk; ///< Receives parts of a 200 answer's body as they arrive; the body in the result then stays empty.
+	std::function<void(const http_result &p_result)> on_end; ///< Called exactly once, unless the call is cancelled.
 };
 
 /** Identity of a call within its client. */
@@ -89,13 +89,12 @@
 	http_client(const http_client &) = delete;
 	http_client &operator=(const http_client &) = delete;
 
-	/** Starts a call. */
 	call_id start(const http_call &p_call, http_hooks p_hooks);
 
-	/** Stops a call: its connection is closed and its hooks are not called any more. */
+	/** Cancels a call: closes its connection; its hooks are not called afterwards. */
 	void cancel(call_id p_id);
 
-	/** Drops idle connections that were not used lately. */
+	/** Closes connections that have exceeded the idle limit. To be called periodically. */
 	void drop_old_connections();
 
 	std::size_t get_open_count() const { return _calls.size(); }
--- a/drivers/http_reader.cpp
+++ b/drivers/http_reader.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: http_reader.cpp
- * Reads HTTP/1.1 messages one at a time and strictly, by http_parser.
+ * Strict reader of HTTP/1.1 messages, one at a time, based on http_parser.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -90,16 +90,16 @@
 
 const http_parser_settings &get_parser_settings() {
 	static const http_parser_settings settings = [] {
-		http_parser_settings made;
-		http_parser_settings_init(&made);
-		made.on_message_begin = &http_reader_callbacks::on_begin;
-		made.on_url = &http_reader_callbacks::on_url;
-		made.on_header_field = &http_reader_callbacks::on_field;
-		made.on_header_value = &http_reader_callbacks::on_value;
-		made.on_headers_complete = &http_reader_callbacks::on_headers_complete;
-		made.on_body = &http_reader_callbacks::on_body;
-		made.on_message_complete = &http_reader_callbacks::on_complete;
-		return made;
+		http_parser_settings result;
+		http_parser_settings_init(&result);
+		result.on_message_begin = &http_reader_callbacks::on_begin;
+		result.on_url = &http_reader_callbacks::on_url;
+		result.on_header_field = &http_reader_callbacks::on_field;
+		result.on_header_value = &http_reader_callbacks::on_value;
+		result.on_headers_complete = &http_reader_callbacks::on_headers_complete;
+		result.on_body = &http_reader_callbacks::on_body;
+		result.on_message_complete = &http_reader_callbacks::on_complete;
+		return result;
 	}();
 	return settings;
 }
@@ -139,8 +139,8 @@
 	delete p_parser;
 }
 
-http_reader::http_reader(kind p_kind, hooks p_hooks, std::size_t p_most_header_bytes) :
-		_kind(p_kind), _hooks(std::move(p_hooks)), _parser(new http_parser), _most_header_bytes(p_most_header_bytes) {
+http_reader::http_reader(kind p_kind, hooks p_hooks, std::size_t p_max_header_bytes) :
+		_kind(p_kind), _hooks(std::move(p_hooks)), _parser(new http_parser), _max_header_bytes(p_max_header_bytes) {
 	reset();
 }
 
@@ -165,7 +165,7 @@
 
 bool http_reader::_count(std::size_t p_bytes) {
 	_header_bytes += p_bytes;
-	if (_header_bytes > _most_header_bytes) {
+	if (_header_bytes > _max_header_bytes) {
 		_state = state::HEADERS_TOO_LARGE;
 		return false;
 	}
@@ -180,16 +180,16 @@
 	_header_bytes += BYTES_PER_HEADER;
 }
 
-bool http_reader::_are_headers_sound() const {
-	// The parser lets blanks and control characters pass where other readers stop or go on differently.
+bool http_reader::_are_headers_valid() const {
+	// The parser accepts blanks and control characters that other implementations reject or interpret differently.
 	return std::all_of(_head.headers.begin(), _head.headers.end(), [](const http_header &p_header) {
 		const bool is_token = !p_header.name.empty() && std::all_of(p_header.name.begin(), p_header.name.end(), is_token_letter);
 		return is_token && std::none_of(p_header.value.begin(), p_header.value.end(), is_control);
 	});
 }
 
-bool http_reader::_is_framing_sound() const {
-	// Anything two readers could frame differently is refused: that is how one request gets smuggled inside another.
+bool http_reader::_is_framing_valid() const {
+	// Rejects framing that two implementations could interpret differently, which would allow request smuggling.
 	const std::size_t encodings = _head.count("Transfer-Encoding");
 	if (encodings > 1 || _head.count("Content-Length") > 1 || _head.count("Host") > 1) {
 		return false;
@@ -209,7 +209,7 @@
 	_head.minor_version = _parser->http_minor;
 	_head.keep_alive = http_should_keep_alive(_parser.get()) != 0;
 	_head.framing = _kind == kind::REQUEST || _without_body ? body_framing::LENGTH : get_answer_framing(*_parser);
-	if (_parser->http_major != 1 || !_are_headers_sound() || !_is_framing_sound() || (_kind == kind::REQUEST && _parser->upgrade != 0)) {
+	if (_parser->http_major != 1 || !_are_headers_valid() || !_is_framing_valid() || (_kind == kind::REQUEST && _parser->upgrade != 0)) {
 		return -1;
 	}
 	_has_head = true;
@@ -221,14 +221,14 @@
 	if (_state != state::READING || p_bytes.empty()) {
 		return 0;
 	}
-	const std::size_t taken = http_parser_execute(_parser.get(), &get_parser_settings(), p_bytes.data(), p_bytes.size());
+	const std::size_t consumed = http_parser_execute(_parser.get(), &get_parser_settings(), p_bytes.data(), p_bytes.size());
 	const http_errno error = HTTP_PARSER_ERRNO(_parser.get());
 	if (error == HPE_HEADER_OVERFLOW) {
 		_state = state::HEADERS_TOO_LARGE;
 	} else if (_state == state::READING && error != HPE_OK) {
 		_state = state::MALFORMED;
 	}
-	return taken;
+	return consumed;
 }
 
 void http_reader::finish_at_close() {
--- a/drivers/http_reader.h
+++ b/drivers/http_reader.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: http_reader.h
- * Reads HTTP/1.1 messages one at a time and strictly, by http_parser.
+ * Strict reader of HTTP/1.1 messages, one at a time, based on http_parser.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -21,40 +21,40 @@
 
 namespace calicoscale {
 
-/** What tells where the body of a message ends. */
+/** How the end of a message's body is determined. */
 enum class body_framing {
-	LENGTH, ///< A length, or a kind of message that has no body.
+	LENGTH, ///< By a length, or the message has no body.
 	CHUNKS,
-	CONNECTION, ///< Nothing but the end of the connection.
+	CONNECTION, ///< Only by the end of the connection.
 };
 
 /** Name of a framing, e.g. "chunks". */
 std::string_view get_name(body_framing p_framing);
 
-/** Start line and headers of a message, headers in the order they came. */
+/** Start line and headers of a message, headers in the order received. */
 struct http_head {
 	std::string method; ///< Of a request.
-	std::string target; ///< Of a request, as it came.
+	std::string target; ///< Of a request, as received.
 	int status = 0; ///< Of an answer.
 	int minor_version = 1;
 	std::vector<http_header> headers;
 	bool keep_alive = false;
 	body_framing framing = body_framing::CONNECTION;
 
-	/** First value of a header, compared without case; nullptr when absent. */
+	/** Returns the first value of a header (name compared case-insensitively); nullptr when absent. */
 	const std::string *find(std::string_view p_name) const;
 	std::size_t count(std::string_view p_name) const;
 
-	/** Whether its body's end is told by more than the close. */
+	/** Whether the end of the body is known without the close of the connection. */
 	bool has_length() const { return framing != body_framing::CONNECTION; }
 };
 
-/** Whether two header names are the same. */
+/** Compares header names or values case-insensitively. */
 bool is_same_header(std::string_view p_left, std::string_view p_right);
 
 /**
  * Reads one message at a time. evhttp is not used here: it hides raw targets and surplus bytes, drops the connection on
- * answers that come early, and takes a body cut off by a reset for a whole one.
+ * answers that arrive early, and treats a body truncated by a reset as complete.
  */
 class http_reader {
 public:
@@ -65,7 +65,7 @@
 
 	enum class state {
 		READING,
-		COMPLETE, ///< A whole message was read; reset() makes it read the next.
+		COMPLETE, ///< A complete message was read; reset() prepares for the next.
 		MALFORMED,
 		HEADERS_TOO_LARGE,
 	};
@@ -92,36 +92,36 @@
 	bool _has_head = false;
 	bool _without_body = false;
 	std::size_t _header_bytes = 0;
-	std::size_t _most_header_bytes;
+	std::size_t _max_header_bytes;
 
 	static http_reader &_self(http_parser *p_parser);
 	void _finish_header();
 	bool _count(std::size_t p_bytes);
 	int _on_headers_complete();
-	bool _are_headers_sound() const;
-	bool _is_framing_sound() const;
+	bool _are_headers_valid() const;
+	bool _is_framing_valid() const;
 
 	friend struct http_reader_callbacks;
 
 public:
-	http_reader(kind p_kind, hooks p_hooks, std::size_t p_most_header_bytes);
+	http_reader(kind p_kind, hooks p_hooks, std::size_t p_max_header_bytes);
 	~http_reader();
 	http_reader(const http_reader &) = delete;
 	http_reader &operator=(const http_reader &) = delete;
 
-	/** Reads bytes and returns how many were taken; stops behind a whole message. */
+	/** Parses bytes and returns how many were consumed; stops after a complete message. */
 	std::size_t feed(std::string_view p_bytes);
 
-	/** The peer closed its end: completes a body that ends so. */
+	/** To be called when the peer has closed its end; completes a body that is delimited by the close. */
 	void finish_at_close();
 
-	/** Begins a new message. */
+	/** Discards the current message and starts a new one. */
 	void reset();
 
 	/** The answer to a HEAD has no body whatever its headers say. */
 	void set_without_body(bool p_without) { _without_body = p_without; }
 
-	void set_max_header_bytes(std::size_t p_bytes) { _most_header_bytes = p_bytes; }
+	void set_max_header_bytes(std::size_t p_bytes) { _max_header_bytes = p_bytes; }
 
 	state get_state() const { return _state; }
 	const http_head &get_head() const { return _head; }
--- a/drivers/http_server.cpp
+++ b/drivers/http_server.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: http_server.cpp
- * HTTP service by evhttp, hardened against its defaults.
+ * HTTP server by evhttp, with stricter limits than its defaults.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -28,13 +28,13 @@
 
 namespace {
 
-/** A caller may send this much ahead of its answer before it is made to wait. */
+/** Input in bytes that is buffered while an answer is pending; beyond it the socket is not read. */
 constexpr std::size_t MAX_READ_AHEAD = 256 * 1024;
 constexpr int STATUS_INTERNAL_ERROR = 500;
 
 /**
- * evhttp stops reading while a request is being answered, so it would not see the caller go away. Reading is turned
- * on again without the read callback, which would abort the process if a byte came in this state.
+ * evhttp stops reading while a request is being answered, so it would not notice that the caller disconnects. Reading is
+ * enabled again without the read callback, which would abort the process if a byte arrived in this state.
  */
 void watch_for_close(evhttp_connection *p_connection) {
 	bufferevent *stream = evhttp_connection_get_bufferevent(p_connection);
@@ -48,7 +48,7 @@
 	bufferevent_enable(stream, EV_READ);
 }
 
-void turn_off_delay(evhttp_connection *p_connection) {
+void disable_nagle(evhttp_connection *p_connection) {
 	const evutil_socket_t socket = bufferevent_getfd(evhttp_connection_get_bufferevent(p_connection));
 	const int on = 1;
 	setsockopt(socket, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
@@ -59,7 +59,7 @@
 http_exchange::http_exchange(evhttp_request *p_request, std::shared_ptr<std::set<http_exchange *>> p_siblings) :
 		_request(p_request), _connection(evhttp_request_get_connection(p_request)), _siblings(std::move(p_siblings)) {
 	_siblings->insert(this);
-	turn_off_delay(_connection);
+	disable_nagle(_connection);
 	watch_for_close(_connection);
 	evhttp_connection_set_closecb(_connection, &http_exchange::_on_closed, this);
 }
@@ -77,10 +77,10 @@
 	http_exchange &self = *static_cast<http_exchange *>(p_self);
 	self._gone = true;
 	self._connection = nullptr;
-	if (self._on_gone) {
+	if (self._on_disconnect) {
 		// The hook may destroy this exchange.
-		const std::function<void()> hook = std::move(self._on_gone);
-		self._on_gone = nullptr;
+		const std::function<void()> hook = std::move(self._on_disconnect);
+		self._on_disconnect = nullptr;
 		hook();
 	}
 }
@@ -89,7 +89,7 @@
 	_forget_connection();
 	_gone = true;
 	_answered = true;
-	_on_gone = nullptr;
+	_on_disconnect = nullptr;
 }
 
 void http_exchange::_forget_connection() {
@@ -215,7 +215,7 @@
 		end_stream();
 		return;
 	}
-	// Closing the socket below evhttp lets it clean up along its own path for lost connections.
+	// Shuts the socket down without evhttp, which then cleans up as for a failed connection.
 	const evutil_socket_t socket = bufferevent_getfd(evhttp_connection_get_bufferevent(_connection));
 	_answered = true;
 	_forget_connection();
@@ -256,7 +256,7 @@
 	try {
 		self._handler(std::make_unique<http_exchange>(p_request, self._open));
 	} catch (const std::exception &error) {
-		// No exception may pass through libevent; the exchange answered 500 when it was destroyed.
+		// No exception may propagate through libevent; the exchange answered 500 when it was destroyed.
 		LOG(ERROR) << "event=handler_failed what=" << error.what();
 	}
 }
--- a/drivers/http_server.h
+++ b/drivers/http_server.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: http_server.h
- * HTTP service by evhttp, hardened against its defaults.
+ * HTTP server by evhttp, with stricter limits than its defaults.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -27,12 +27,12 @@
 
 namespace calicoscale {
 
-/** One request at a server and the way to answer it. Destroying it unanswered answers 500. */
+/** One request at a server and the way to answer it. If it is destroyed unanswered, the answer is 500. */
 class http_exchange {
 	evhttp_request *_request;
 	evhttp_connection *_connection;
-	std::shared_ptr<std::set<http_exchange *>> _siblings; ///< Exchanges of the server that are open.
-	std::function<void()> _on_gone;
+	std::shared_ptr<std::set<http_exchange *>> _siblings; ///< Open exchanges of the server.
+	std::function<void()> _on_disconnect;
 	bool _gone = false;
 	bool _streaming = false;
 	bool _answered = false;
@@ -60,28 +60,27 @@
 	/** Value of a header; empty when absent. */
 	std::optional<std::string> find_header(std::string_view p_name) const;
 
-	/** How often a header stands in the request. */
+	/** Number of occurrences of a header in the request. */
 	std::size_t count_header(std::string_view p_name) const;
 
-	/** Takes the body out. */
+	/** Removes and returns the body. */
 	std::string take_body();
 
-	/** Calls the hook when the caller goes away before the answer is complete. */
-	void set_on_disconnect(std::function<void()> p_hook) { _on_gone = std::move(p_hook); }
+	/** Sets a hook that is called when the caller disconnects before the answer is complete. */
+	void set_on_disconnect(std::function<void()> p_hook) { _on_disconnect = std::move(p_hook); }
 
-	/** Answers at once. */
+	/** Sends a complete answer. */
 	void reply(int p_status, const std::string &p_content_type, const std::string &p_body, const std::vector<http_header> &p_headers = {});
 
-	/** Begins an answer in parts. */
+	/** Starts an answer in parts. */
 	void start_stream(int p_status, const std::string &p_content_type, const std::vector<http_header> &p_headers = {});
-	/** Sends a part. */
 	void send_part(std::string_view p_bytes);
 	/** Ends an answer in parts. */
 	void end_stream();
-	/** Breaks an answer in parts off: the caller sees it truncated, never as complete. */
+	/** Aborts an answer in parts: the caller sees it as truncated, never as complete. */
 	void break_stream();
 
-	/** The server is about to be destroyed, and the request with it: nothing can be sent any more. */
+	/** Called before the server is destroyed, and the request with it; nothing can be sent afterwards. */
 	void detach();
 
 	bool is_gone() const { return _gone; }
@@ -111,7 +110,7 @@
 
 public:
 	/**
-	 * Listens at once.
+	 * Starts to listen.
 	 * @throws std::runtime_error when the address cannot be bound.
 	 */
 	http_server(event_loop &p_loop, const network_address &p_address, const http_server_limits &p_limits, std::function<void(std::unique_ptr<http_exchange>)> p_handler);
@@ -120,10 +119,10 @@
 	http_server(const http_server &) = delete;
 	http_server &operator=(const http_server &) = delete;
 
-	/** The address bound; tells the port when 0 was asked for. */
+	/** The bound address; contains the actual port when 0 was requested. */
 	const network_address &get_address() const { return _address; }
 
-	/** Stops accepting connections; those that are open go on. */
+	/** Stops accepting connections; open ones continue. */
 	void stop_listening();
 };
 
--- a/drivers/http_status.cpp
+++ b/drivers/http_status.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: http_status.cpp
- * HTTP status codes that the gateway gives or heeds.
+ * HTTP status codes that the gateway sends or handles.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
--- a/drivers/http_status.h
+++ b/drivers/http_status.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: http_status.h
- * HTTP status codes that the gateway gives or heeds.
+ * HTTP status codes that the gateway sends or handles.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -37,7 +37,6 @@
 
 namespace calicoscale {
 
-/** Reason phrase of a status. */
 std::string_view get_reason_phrase(int p_status);
 
 } // namespace calicoscale
--- a/drivers/socket_address.cpp
+++ b/drivers/socket_address.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: socket_address.cpp
- * IPv4 addresses as the socket calls take and give them.
+ * Conversion of IPv4 addresses for socket calls.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
--- a/drivers/socket_address.h
+++ b/drivers/socket_address.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: socket_address.h
- * IPv4 addresses as the socket calls take and give them.
+ * Conversion of IPv4 addresses for socket calls.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -15,10 +15,10 @@
 
 namespace calicoscale {
 
-/** The address for bind and connect. */
+/** Returns the address in the form for bind() and connect(). */
 sockaddr_in make_socket_address(const network_address &p_address);
 
-/** The address a listening socket was bound to; tells the port when 0 was asked for. */
+/** Returns the host given and the port that the socket is bound to, which is the actual one when 0 was requested. */
 network_address get_bound_address(int p_socket, const std::string &p_host);
 
 } // namespace calicoscale
--- a/drivers/socket_queues.cpp
+++ b/drivers/socket_queues.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: socket_queues.cpp
- * What waits at a socket: bytes or an end that this side has not read, and bytes the other side has not taken.
+ * State of a socket's queues: unread input and unacknowledged output.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -20,13 +20,13 @@
 }
 
 bool is_quiet(int p_socket) {
-	pollfd look{ p_socket, POLLIN | POLLRDHUP, 0 };
-	return poll(&look, 1, 0) == 0;
+	pollfd entry{ p_socket, POLLIN | POLLRDHUP, 0 };
+	return poll(&entry, 1, 0) == 0;
 }
 
 bool is_connected(int p_socket) {
-	pollfd look{ p_socket, POLLOUT, 0 };
-	return poll(&look, 1, 0) == 1 && (look.revents & (POLLERR | POLLHUP)) == 0 && (look.revents & POLLOUT) != 0;
+	pollfd entry{ p_socket, POLLOUT, 0 };
+	return poll(&entry, 1, 0) == 1 && (entry.revents & (POLLERR | POLLHUP)) == 0 && (entry.revents & POLLOUT) != 0;
 }
 
 std::optional<std::size_t> get_unacknowledged_bytes(int p_socket) {
--- a/drivers/socket_queues.h
+++ b/drivers/socket_queues.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: socket_queues.h
- * What waits at a socket: bytes or an end that this side has not read, and bytes the other side has not taken.
+ * State of a socket's queues: unread input and unacknowledged output.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -14,16 +14,16 @@
 
 namespace calicoscale {
 
-/** Bytes that have arrived at a socket and that nobody has read; none also when the system does not tell. */
+/** Number of received bytes that have not been read; 0 also when the system call fails. */
 std::size_t get_unread_bytes(int p_socket);
 
-/** Whether neither bytes nor an end nor an error of the other side wait to be read. */
+/** Whether no input, close or error of the other side is pending. */
 bool is_quiet(int p_socket);
 
-/** Whether the connection of a socket has come up. */
+/** Whether the connection of a socket is established. */
 bool is_connected(int p_socket);
 
-/** Bytes written to a socket that the other side has not acknowledged; empty when the system does not tell. */
+/** Bytes written to a socket that the other side has not acknowledged; empty when the system call fails. */
 std::optional<std::size_t> get_unacknowledged_bytes(int p_socket);
 
 } // namespace calicoscale
--- a/drivers/suspension_alarm.cpp
+++ b/drivers/suspension_alarm.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: suspension_alarm.cpp
- * Wakes an event loop first thing when the VM was suspended.
+ * Wakes an event loop as soon as the VM resumes from a suspension.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,10 +18,10 @@
 
 namespace {
 
-/** After the loop last ran; twice the longest time it sleeps, so that it goes off only when the loop was kept from running. */
-constexpr duration ALARM_AFTER = std::chrono::milliseconds(200);
-/** It is put off when half of that is over. */
-constexpr duration LEAST_LEFT = ALARM_AFTER / 2;
+/** Delay after the loop last ran; twice its longest sleep, so that the alarm fires only when the loop was kept from running. */
+constexpr duration ALARM_DELAY = std::chrono::milliseconds(200);
+/** The alarm is postponed only once half of its delay has passed, to save system calls. */
+constexpr duration MIN_REMAINING = ALARM_DELAY / 2;
 
 } // namespace
 
@@ -46,13 +46,13 @@
 	}
 }
 
-void suspension_alarm::put_off(instant p_now) {
-	if (_alarm < 0 || _set_for - p_now > LEAST_LEFT) {
+void suspension_alarm::postpone(instant p_now) {
+	if (_alarm < 0 || _set_for - p_now > MIN_REMAINING) {
 		return;
 	}
-	_set_for = p_now + ALARM_AFTER;
+	_set_for = p_now + ALARM_DELAY;
 	itimerspec time{};
-	time.it_value.tv_nsec = std::chrono::nanoseconds(ALARM_AFTER).count();
+	time.it_value.tv_nsec = std::chrono::nanoseconds(ALARM_DELAY).count();
 	timerfd_settime(_alarm, 0, &time, nullptr);
 }
 
