--- a/drivers/caller_connection.cpp
+++ b/drivers/caller_connection.cpp
@@ -32,7 +32,7 @@
 /**
  * Share of the idle limit that answers advertise. The remainder covers the network delay of the answer and of the next request,
  * and process stalls of the node. Callers respect it: of 2,394 requests with a limit of 15 s, 25 arrived on connections that
- * had been idle for over 12 s, five of them for over 15 s; none did once answers advertised 12 s.
+ * had been idle for over 12 s, five of them for over 15 s; none did once answers advertised 12 s (one run each).
  */
 constexpr double ADVERTISED_IDLE_SHARE = 0.8;
 /** Maximum idle limit promised to a caller: after the limit is lowered, the old promise delays closing by no more than this. */
