--- a/drivers/endpoint_channels.cpp
+++ b/drivers/endpoint_channels.cpp
@@ -29,23 +29,23 @@
 
 namespace {
 
-constexpr std::size_t MOST_HEADER_BYTES = 64 * 1024;
-/** Unacknowledged bytes older than this mean that the endpoint or the path is gone; some retransmissions fit in. */
+constexpr std::size_t MAX_HEADER_BYTES = 64 * 1024;
+/** Unacknowledged bytes older than this mean that the endpoint or the path has failed; some retransmissions fit in. */
 constexpr unsigned int USER_TIMEOUT_MS = 2000;
 constexpr int KEEPALIVE_IDLE_S = 1;
 constexpr int KEEPALIVE_INTERVAL_S = 1;
 constexpr int KEEPALIVE_PROBES = 2;
 constexpr duration SWEEP_INTERVAL = std::chrono::seconds(1);
-/** Kept connections are closed at this age, or at part of the time that the endpoint names. */
-constexpr duration LONGEST_KEPT = std::chrono::seconds(4);
-constexpr double KEEP_ALIVE_PART = 0.6;
+/** Idle connections are closed after this time, or after KEEP_ALIVE_SHARE of the time that the endpoint advertises. */
+constexpr duration MAX_KEPT_TIME = std::chrono::seconds(4);
+constexpr double KEEP_ALIVE_SHARE = 0.6;
 /**
- * A restart is known some time after it: the endpoint writes its entry, and it is read each 0.9 s. A connection opened
- * within this may be one with the later start, whatever the time of day says, and is left to break by itself.
+ * A restart is noticed with a delay: the endpoint writes its entry, which is read every 0.9 s. A connection opened within
+ * this time may belong to the later start, whatever the wall clock says, and is left to fail by itself.
  */
-constexpr duration LEARNING_TIME = std::chrono::milliseconds(2000);
-/** Bytes of an answer that are passed on before it is asked whether more are wanted. */
-constexpr std::size_t MOST_FED = 4UL * 1024;
+constexpr duration RESTART_NOTICE_DELAY = std::chrono::milliseconds(2000);
+/** Bytes of an answer that are passed on before the channel checks whether reading was paused. */
+constexpr std::size_t MAX_FED_BYTES = 4UL * 1024;
 constexpr std::size_t READ_HIGH_WATERMARK = 64 * 1024;
 
 constexpr std::array<enum_name<channel_end>, 4> END_NAMES{ {
@@ -77,18 +77,18 @@
 	return timeval{ static_cast<time_t>(p_time.count() / 1'000'000), static_cast<suseconds_t>(p_time.count() % 1'000'000) };
 }
 
-/** How long the endpoint keeps an idle connection, by its Keep-Alive header. */
+/** Returns how long to keep an idle connection, according to the Keep-Alive header of the endpoint. */
 duration read_keep_alive(const http_head &p_head) {
 	const std::string *value = p_head.find("Keep-Alive");
 	if (value == nullptr) {
-		return LONGEST_KEPT;
+		return MAX_KEPT_TIME;
 	}
-	const std::size_t place = value->find("timeout=");
-	if (place == std::string::npos) {
-		return LONGEST_KEPT;
+	const std::size_t position = value->find("timeout=");
+	if (position == std::string::npos) {
+		return MAX_KEPT_TIME;
 	}
-	const double seconds = std::strtod(value->c_str() + place + 8, nullptr);
-	return std::min(LONGEST_KEPT, from_seconds(seconds * KEEP_ALIVE_PART));
+	const double seconds = std::strtod(value->c_str() + position + 8, nullptr);
+	return std::min(MAX_KEPT_TIME, from_seconds(seconds * KEEP_ALIVE_SHARE));
 }
 
 } // namespace
@@ -111,8 +111,8 @@
 	bool _connected = false;
 	bool _skipping = false;
 	bool _ended = false;
-	bool _is_paused = false; ///< Whoever takes the answer asked to wait.
-	duration _kept_for = LONGEST_KEPT;
+	bool _is_paused = false; ///< The receiver of the answer paused reading.
+	duration _kept_for = MAX_KEPT_TIME;
 	instant _idle_since{};
 	instant _opened_at{};
 
@@ -124,7 +124,7 @@
 		channel &self = *static_cast<channel *>(p_self);
 		if ((p_what & BEV_EVENT_CONNECTED) != 0) {
 			self._connected = true;
-			self._tell_heard();
+			self._report_contact();
 			bufferevent_set_timeouts(self._stream, nullptr, nullptr);
 			return;
 		}
@@ -143,7 +143,7 @@
 		self._on_closed((p_what & BEV_EVENT_EOF) != 0);
 	}
 
-	/** The time to connect passed while the loop was held up, and the connection had come up meanwhile. */
+	/** Handles a connect time-out that expired during a process stall in which the connection was established. */
 	void _await_connected() {
 		bufferevent_set_timeouts(_stream, nullptr, nullptr);
 		bufferevent_enable(_stream, EV_WRITE);
@@ -163,9 +163,9 @@
 		_owner._finish(*this, is_whole ? channel_end::COMPLETE : channel_end::BROKEN, false);
 	}
 
-	void _tell_heard() {
-		if (_owner._on_heard && !_request.zone.empty()) {
-			_owner._on_heard(_request.zone);
+	void _report_contact() {
+		if (_owner._on_contact && !_request.zone.empty()) {
+			_owner._on_contact(_request.zone);
 		}
 	}
 
@@ -200,11 +200,11 @@
 		}
 		evbuffer *input = bufferevent_get_input(_stream);
 		if (evbuffer_get_length(input) > 0) {
-			_tell_heard();
+			_report_contact();
 		}
 		while (!_ended && !_is_paused && evbuffer_get_length(input) > 0) {
-			// In parts, so that a pause takes effect within an answer that came at once.
-			const std::size_t size = std::min(evbuffer_get_contiguous_space(input), MOST_FED);
+			// Fed in parts, so that a pause takes effect within an answer that arrived in one read.
+			const std::size_t size = std::min(evbuffer_get_contiguous_space(input), MAX_FED_BYTES);
 			const char *bytes = reinterpret_cast<const char *>(evbuffer_pullup(input, static_cast<ev_ssize_t>(size)));
 			const std::size_t taken = _reader.feed(std::string_view(bytes, size));
 			if (_ended) {
@@ -234,7 +234,7 @@
 
 public:
 	explicit channel(endpoint_channels &p_owner) :
-			_owner(p_owner), _reader(http_reader::kind::ANSWER, http_reader::hooks{ [this](const http_head &p_head) { _on_head(p_head); }, [this](std::string_view p_bytes) { _on_body(p_bytes); } }, MOST_HEADER_BYTES) {}
+			_owner(p_owner), _reader(http_reader::kind::ANSWER, http_reader::hooks{ [this](const http_head &p_head) { _on_head(p_head); }, [this](std::string_view p_bytes) { _on_body(p_bytes); } }, MAX_HEADER_BYTES) {}
 
 	~channel() {
 		if (_stream != nullptr) {
@@ -245,7 +245,7 @@
 	channel(const channel &) = delete;
 	channel &operator=(const channel &) = delete;
 
-	/** Begins to connect; false when not even that is possible. */
+	/** Starts to connect; returns false when that fails immediately. */
 	bool open(const network_address &p_to, duration p_timeout) {
 		_opened_at = event_loop::now();
 		const int handle = open_socket();
@@ -290,7 +290,7 @@
 		}
 	}
 
-	void silence() {
+	void stop_callbacks() {
 		_ended = true;
 		if (_stream != nullptr) {
 			bufferevent_setcb(_stream, nullptr, nullptr, nullptr, nullptr);
@@ -307,8 +307,8 @@
 endpoint_channels::~endpoint_channels() = default;
 
 void endpoint_channels::_free(std::unique_ptr<channel> p_channel) {
-	p_channel->silence();
-	// Freed from the loop, as this may run inside one of the channel's own callbacks.
+	p_channel->stop_callbacks();
+	// The channel is freed from the event loop, as this function may run inside one of its own callbacks.
 	std::shared_ptr<channel> removed = std::move(p_channel);
 	_loop.post([removed] {});
 }
@@ -323,7 +323,8 @@
 	while (!stack.empty() && now - stack.back()->_idle_since <= std::min(p_request.longest_idle, stack.back()->_kept_for)) {
 		std::unique_ptr<channel> taken = std::move(stack.back());
 		stack.pop_back();
-		// The endpoint may have closed it in this very turn of the loop; a request sent then counts as one that may have run.
+		// The endpoint may have closed the connection in this iteration of the loop; a request sent on it would count as one that
+		// may have run.
 		if (is_quiet(bufferevent_getfd(taken->_stream))) {
 			return taken;
 		}
@@ -421,7 +422,7 @@
 
 std::size_t endpoint_channels::end_replaced(const endpoint_identity &p_endpoint, duration p_started_ago) {
 	drop_idle(p_endpoint);
-	const instant latest = event_loop::now() - std::max(p_started_ago, LEARNING_TIME);
+	const instant latest = event_loop::now() - std::max(p_started_ago, RESTART_NOTICE_DELAY);
 	std::vector<exchange_id> replaced;
 	for (const auto &[id, entry] : _busy) {
 		if (entry->_endpoint == p_endpoint && entry->_opened_at < latest) {
@@ -430,7 +431,7 @@
 	}
 	for (const exchange_id id : replaced) {
 		const auto found = _busy.find(id);
-		// A hook of one may have cancelled another.
+		// The hook of one exchange may have cancelled another.
 		if (found != _busy.end()) {
 			channel &ended = *found->second;
 			_finish(ended, ended._connected ? channel_end::BROKEN : channel_end::CONNECT_FAILED, false);
--- a/drivers/endpoint_channels.h
+++ b/drivers/endpoint_channels.h
@@ -26,42 +26,42 @@
 
 /** How an exchange with an endpoint ended. */
 enum class channel_end {
-	COMPLETE, ///< The whole answer came.
-	CONNECT_FAILED, ///< Not one byte was sent.
-	BROKEN, ///< The connection ended first; the request may have run.
-	MALFORMED, ///< What came is no answer to this request; it may have run.
+	COMPLETE, ///< The complete answer was received.
+	CONNECT_FAILED, ///< No byte of the request was sent.
+	BROKEN, ///< The connection closed before the answer was complete; the request may have run.
+	MALFORMED, ///< The data received is not a valid answer to this request, which may have run.
 };
 
-/** Name of an end, e.g. "connect_failed". */
+/** Returns the name of an end, e.g. "connect_failed". */
 std::string_view get_name(channel_end p_end);
 
 /** One request to an endpoint. */
 struct channel_request {
-	endpoint_identity endpoint; ///< Connections are kept by it, as an address may pass to another endpoint.
+	endpoint_identity endpoint; ///< Idle connections are stored by identity, as an address may be reassigned to another endpoint.
 	network_address to;
 	std::string zone; ///< Of the endpoint; empty when it is not known.
 	std::string bytes; ///< The whole request.
-	std::string echo_header; ///< Header by which the answer names its request; empty when answers do not.
+	std::string echo_header; ///< Header by which the answer identifies its request; empty when answers carry none.
 	std::string echo_value;
 	bool is_head = false; ///< The answer has no body.
-	bool use_kept = true; ///< Whether a kept connection will do.
-	duration connect_timeout = std::chrono::milliseconds(250); ///< Many round trips within a region; a lost packet costs an attempt elsewhere, which is less than waiting for its repeat.
-	duration longest_idle = std::chrono::seconds(2); ///< Older kept connections are not used, as the endpoint may close them meanwhile.
+	bool use_kept = true; ///< Whether a kept connection may be used.
+	duration connect_timeout = std::chrono::milliseconds(250); ///< Many round trips within a region. After a lost packet an attempt elsewhere takes less time than waiting for the retransmission.
+	duration longest_idle = std::chrono::seconds(2); ///< Connections that were idle for longer are not used, as the endpoint may be closing them.
 };
 
-/** What an exchange reports. on_end comes exactly once unless it is cancelled. */
+/** Callbacks of an exchange. on_end is called exactly once unless the exchange is cancelled. */
 struct channel_hooks {
 	std::function<void(const http_head &)> on_head;
 	std::function<void(std::string_view)> on_body;
 	std::function<void(channel_end)> on_end;
 };
 
-/** Names an exchange. */
+/** Identifies an exchange, i.e. one request and its answer. */
 using exchange_id = std::uint64_t;
 
 /**
- * Sends requests and reads answers. An answer that echoes another request is a late one of an earlier exchange and is
- * skipped. A connection with surplus bytes, an answer that came before the request was out, or a failure is not kept.
+ * Sends requests and reads answers. An answer that echoes another request is a late answer to an earlier exchange and is
+ * skipped. A connection is not kept after surplus bytes, an answer that arrived before the request was sent, or a failure.
  */
 class endpoint_channels {
 	class channel;
@@ -71,11 +71,11 @@
 	std::map<endpoint_identity, std::vector<std::unique_ptr<channel>>> _idle;
 	timer _sweep_timer;
 	exchange_id _next_id = 1;
-	std::function<void(const std::string &)> _on_heard;
+	std::function<void(const std::string &)> _on_contact;
 	std::uint64_t _opened = 0;
 	std::uint64_t _skipped_answers = 0;
 
-	/** The kept connection used last, if it is fresh enough and nothing came on it since; null when there is none. */
+	/** Removes and returns the most recently used kept connection that is fresh enough and received nothing since; null when there is none. */
 	std::unique_ptr<channel> _take_kept(const channel_request &p_request);
 	void _free(std::unique_ptr<channel> p_channel);
 	void _on_idle_event(channel *p_channel);
@@ -91,26 +91,26 @@
 	/** Starts an exchange. Its hooks are called from the loop, never before this returns. */
 	exchange_id start(channel_request p_request, channel_hooks p_hooks);
 
-	/** Ends an exchange by closing its connection; its hooks are not called any more. */
+	/** Cancels an exchange by closing its connection; its hooks are not called afterwards. */
 	void cancel(exchange_id p_id);
 
-	/** Stops reading an answer, or goes on; what arrives meanwhile holds its endpoint up. */
+	/** Pauses or resumes reading an answer; while paused, flow control blocks the endpoint once the buffers are full. */
 	void set_reading(exchange_id p_id, bool p_reads);
 
-	/** Whether bytes of an answer have arrived that were not read yet. */
+	/** Returns whether bytes of an answer have arrived that are not read yet. */
 	bool has_unread(exchange_id p_id) const;
 
-	/** Sets what is told the zone of an endpoint of which bytes or a new connection came. */
-	void set_on_contact(std::function<void(const std::string &)> p_hook) { _on_heard = std::move(p_hook); }
+	/** Sets the hook that receives the zone of an endpoint when bytes arrive from it or a connection to it is established. */
+	void set_on_contact(std::function<void(const std::string &)> p_hook) { _on_contact = std::move(p_hook); }
 
-	/** Closes what is kept to an endpoint that is gone. */
+	/** Closes the idle connections to an endpoint that is no longer listed. */
 	void drop_idle(const endpoint_identity &p_endpoint);
 
 	/**
-	 * An endpoint started again. Closes what is kept to the start before, and ends the exchanges with it as broken, or as not
-	 * connected. An exchange whose connection may be one with the later start goes on.
-	 * @param p_started_ago how long ago the later start was, as far as the time of day tells.
-	 * @return exchanges that were ended.
+	 * Handles the restart of an endpoint. Closes the idle connections to the previous start and ends the exchanges with it as
+	 * BROKEN or CONNECT_FAILED. An exchange whose connection may belong to the later start continues.
+	 * @param p_started_ago time since the later start, according to the wall clock.
+	 * @return number of exchanges that were ended.
 	 */
 	std::size_t end_replaced(const endpoint_identity &p_endpoint, duration p_started_ago);
 
--- a/drivers/endpoint_client.cpp
+++ b/drivers/endpoint_client.cpp
@@ -19,9 +19,9 @@
 constexpr int STATUS_OK = 200;
 constexpr duration SETTLE_TIMEOUT = std::chrono::seconds(2);
 constexpr duration LOAD_TIMEOUT = std::chrono::seconds(1);
-/** The flow's own timers end an attempt; the connection's limit only backs them up. */
+/** Added to the time-out of the connection, so that the timers of request_flow end an attempt first. */
 constexpr duration CONNECTION_SLACK = std::chrono::seconds(2);
-constexpr std::size_t LARGEST_LINE = 1024 * 1024;
+constexpr std::size_t MAX_LINE_BYTES = 1024 * 1024;
 
 attempt_end make_end(verdict p_verdict, reason p_reason) {
 	attempt_end end;
@@ -29,7 +29,7 @@
 	return end;
 }
 
-/** Judges an attempt that did not bring a 200 answer. */
+/** Classifies an attempt that did not return status 200. */
 attempt_end judge_failure(const http_result &p_result) {
 	switch (p_result.failure) {
 		case http_failure::CONNECT_FAILED:
@@ -43,7 +43,7 @@
 		case http_failure::NONE:
 			break;
 	}
-	// Only this header says that the endpoint refused before it ran anything; a status alone does not.
+	// Only this header means that the endpoint refused before it ran anything; a status alone does not.
 	const std::string refusal = p_result.find_header("Not-Run");
 	if (refusal == "busy") {
 		return make_end(verdict::NOT_RUN, reason::REFUSED_BUSY);
@@ -82,7 +82,8 @@
 	call.to = p_order.to;
 	call.is_post = true;
 	call.timeout = p_order.remaining + CONNECTION_SLACK;
-	// A kept-alive connection may be closed under a request; for an unrepeatable stage that doubt is not worth the saving.
+	// The endpoint may close a kept-alive connection while a request is sent, which leaves unknown whether the request ran. A
+	// stage that cannot be repeated therefore uses a new connection.
 	call.fresh_connection = !p_order.repeatable;
 	call.headers = {
 		{ "Content-Type", "application/json" },
@@ -108,12 +109,12 @@
 
 } // namespace
 
-/** Takes the lines of a token stream apart. */
+/** Parses the lines of a token stream. */
 struct endpoint_client::stream_reader {
 	endpoint_client &owner;
 	std::string echo;
 	attempt_hooks hooks;
-	std::string rest;
+	std::string buffer;
 	call_id call = 0;
 	bool ended = false;
 
@@ -134,7 +135,7 @@
 		end(p_end);
 	}
 
-	void take_line(const std::string &p_line) {
+	void handle_line(const std::string &p_line) {
 		const json line = json::parse(p_line, nullptr, false);
 		if (!line.is_object()) {
 			break_off(make_end(verdict::MAY_HAVE_RUN, reason::TRUNCATED));
@@ -162,24 +163,24 @@
 		}
 	}
 
-	void take_chunk(std::string_view p_chunk) {
-		rest.append(p_chunk);
+	void handle_chunk(std::string_view p_chunk) {
+		buffer.append(p_chunk);
 		std::size_t start = 0;
 		while (!ended) {
-			const std::size_t end_of_line = rest.find('\n', start);
+			const std::size_t end_of_line = buffer.find('\n', start);
 			if (end_of_line == std::string::npos) {
 				break;
 			}
-			take_line(rest.substr(start, end_of_line - start));
+			handle_line(buffer.substr(start, end_of_line - start));
 			start = end_of_line + 1;
 		}
-		rest.erase(0, start);
-		if (rest.size() > LARGEST_LINE) {
+		buffer.erase(0, start);
+		if (buffer.size() > MAX_LINE_BYTES) {
 			break_off(make_end(verdict::MAY_HAVE_RUN, reason::TRUNCATED));
 		}
 	}
 
-	void take_end(const http_result &p_result) {
+	void handle_end(const http_result &p_result) {
 		const bool ended_early = p_result.failure == http_failure::NONE && p_result.status == STATUS_OK;
 		end(ended_early ? make_end(verdict::MAY_HAVE_RUN, reason::CONNECTION_LOST) : judge_failure(p_result));
 	}
@@ -208,8 +209,8 @@
 	}
 	auto reader = std::make_shared<stream_reader>(stream_reader{ *this, to_string(p_order.id), std::move(p_hooks), "", 0, false });
 	http_hooks hooks;
-	hooks.on_chunk = [reader](std::string_view p_chunk) { reader->take_chunk(p_chunk); };
-	hooks.on_end = [reader](const http_result &p_result) { reader->take_end(p_result); };
+	hooks.on_chunk = [reader](std::string_view p_chunk) { reader->handle_chunk(p_chunk); };
+	hooks.on_end = [reader](const http_result &p_result) { reader->handle_end(p_result); };
 	reader->call = _client.start(call, std::move(hooks));
 	return reader->call;
 }
--- a/drivers/endpoint_client.h
+++ b/drivers/endpoint_client.h
@@ -21,7 +21,7 @@
 
 namespace calicoscale {
 
-/** One attempt as it is sent. */
+/** Parameters of one attempt. */
 struct attempt_order {
 	attempt_id id;
 	network_address to;
@@ -31,9 +31,9 @@
 	std::string stage;
 	priority_class priority = priority_class::NORMAL;
 	std::string input; ///< JSON text.
-	std::string previous; ///< JSON text of the result of the stage before; empty for the first.
+	std::string previous; ///< JSON text of the result of the previous stage; empty for the first.
 	int max_tokens = 0;
-	duration remaining = duration::zero(); ///< Until the attempt is given up.
+	duration remaining = duration::zero(); ///< Time until the attempt is abandoned.
 	unix_milliseconds give_up_wall = 0;
 	bool repeatable = true;
 	stream_start start = stream_start::FRESH;
@@ -42,19 +42,19 @@
 	std::uint32_t from_offset = 0;
 };
 
-/** What an attempt reports. */
+/** Callbacks of an attempt. */
 struct attempt_hooks {
 	std::function<void(std::uint32_t p_offset, const std::string &p_token)> on_token;
-	std::function<void(const attempt_end &p_end)> on_end; ///< Exactly once, unless cancelled.
+	std::function<void(const attempt_end &p_end)> on_end; ///< Called exactly once unless the attempt is cancelled.
 };
 
-/** Cost of an attempt as its endpoint tells it afterwards. */
+/** Cost of an attempt, as its endpoint reports it afterwards. */
 struct settled_cost {
 	bool known = false; ///< The endpoint answered.
 	double units = 0.0;
 };
 
-/** Load as an endpoint tells it. */
+/** Load reported by an endpoint. */
 struct load_answer {
 	double running = 0.0;
 	double queued = 0.0;
@@ -63,8 +63,8 @@
 };
 
 /**
- * Speaks to endpoints. An answer that does not echo its attempt is a wrong echo: it is never taken as a result, and its
- * connection is closed. The interface is given in docs/PLATFORM.md.
+ * Sends attempts to endpoints. An answer that does not echo its attempt is a wrong echo: it is never used as a result, and
+ * its connection is closed. The interface is given in docs/PLATFORM.md.
  */
 class endpoint_client {
 	http_client &_client;
@@ -78,19 +78,19 @@
 public:
 	explicit endpoint_client(http_client &p_client);
 
-	/** Sends an attempt. */
+	/** Sends an attempt and returns the call by which it can be cancelled. */
 	call_id start(const attempt_order &p_order, attempt_hooks p_hooks);
 
-	/** Breaks an attempt off. Its endpoint is told by settle(). */
+	/** Cancels an attempt locally; settle() notifies its endpoint. */
 	void cancel(call_id p_call);
 
-	/** Tells the endpoint to stop working on an attempt and asks what it cost. */
+	/** Requests the endpoint to stop working on an attempt and to report its cost. */
 	void settle(const network_address &p_to, const attempt_id &p_id, std::function<void(const settled_cost &p_cost)> p_hook);
 
-	/** Asks for the load; the hook gets nothing from an endpoint that does not report. */
+	/** Requests the load; the hook receives an empty value when the endpoint does not report it. */
 	void fetch_load(const network_address &p_to, std::function<void(const std::optional<load_answer> &p_load)> p_hook);
 
-	/** Answers that belonged to another attempt and were kept from being misdelivered. */
+	/** Returns the number of answers that belonged to another attempt and were discarded. */
 	std::uint64_t get_wrong_echoes() const { return _wrong_echoes; }
 };
 
--- a/drivers/endpoint_probe.cpp
+++ b/drivers/endpoint_probe.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: endpoint_probe.cpp
- * Tells by a new connection whether an endpoint is there.
+ * Checks by a new connection whether an endpoint is reachable.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -21,10 +21,10 @@
 
 namespace {
 
-/** Many round trips within a region; a port that nobody listens on answers within one. */
+/** Many round trips within a region; a port without a listener refuses within one. */
 constexpr timeval PROBE_TIMEOUT{ 0, 500'000 };
 
-/** Error of a connection that was tried; 0 when it came up. */
+/** Returns the error of a connection attempt; 0 when it succeeded. */
 int get_connect_error(int p_socket) {
 	int error = 0;
 	socklen_t size = sizeof(error);
@@ -40,14 +40,14 @@
 
 } // namespace
 
-/** One connection that is tried. */
+/** One connection attempt. */
 class endpoint_probe::probe {
 	struct event_deleter {
 		void operator()(event *p_event) const { event_free(p_event); }
 	};
 
 	int _socket;
-	int _error = 0; ///< Found before the connection could be waited for.
+	int _error = 0; ///< Error of connect() itself, before waiting for the result.
 	std::unique_ptr<event, event_deleter> _event;
 	std::function<void(probe_end)> _hook;
 
--- a/drivers/endpoint_probe.h
+++ b/drivers/endpoint_probe.h
@@ -20,7 +20,7 @@
 
 namespace calicoscale {
 
-/** Opens connections that carry nothing and closes them as soon as they are accepted or refused. */
+/** Opens connections without sending data and closes them as soon as they are accepted or refused. */
 class endpoint_probe {
 	class probe;
 
--- a/drivers/link_codec.cpp
+++ b/drivers/link_codec.cpp
@@ -31,16 +31,16 @@
 	return p_text == nullptr ? std::string() : p_text->str();
 }
 
-/** Times told by peers are of requests; longer ones are no times, and would overflow when added to the clock. */
-constexpr std::int64_t LONGEST_MS = 24LL * 3600 * 1000;
-/** Work of all nodes in one pool is summed up; this is more than any fleet does in a day. */
-constexpr std::uint64_t LARGEST_WORK_US = 1ULL << 53U;
+/** Times sent by peers belong to requests; longer ones are invalid and would overflow when added to the clock. */
+constexpr std::int64_t MAX_TIME_MS = 24LL * 3600 * 1000;
+/** Bounds the work of a node, as the work of all nodes in a pool is summed; no fleet does as much in a day. */
+constexpr std::uint64_t MAX_WORK_US = 1ULL << 53U;
 
 duration read_ms(std::int64_t p_ms) {
-	return std::chrono::milliseconds(std::clamp(p_ms, -LONGEST_MS, LONGEST_MS));
+	return std::chrono::milliseconds(std::clamp(p_ms, -MAX_TIME_MS, MAX_TIME_MS));
 }
 
-/** An amount; what is no number or negative is none, as it would spoil every sum and comparison. */
+/** Reads an amount; returns 0 for one that is negative or not finite, as it would corrupt sums and comparisons. */
 double read_amount(float p_amount) {
 	return std::isfinite(p_amount) && p_amount > 0.0F ? static_cast<double>(p_amount) : 0.0;
 }
@@ -52,7 +52,7 @@
 		demands.emplace_back(customer, static_cast<float>(rate));
 	}
 	const text_offset vm = r_builder.CreateString(p_digest.vm);
-	// A fleet that starts tells each node of many others, which stand in few zones and regions.
+	// While a fleet starts, each node receives the digests of many others, which share few zones and regions.
 	const text_offset zone = r_builder.CreateSharedString(p_digest.zone);
 	const text_offset region = r_builder.CreateSharedString(p_digest.region);
 	const text_offset link = r_builder.CreateString(to_string(p_digest.link));
@@ -108,7 +108,7 @@
 	entries.reserve(p_listings.size());
 	for (const endpoint_listing &listing : p_listings) {
 		const text_offset name = r_builder.CreateString(listing.vm);
-		// Few pools and zones stand in many listings.
+		// Many listings share few pools and zones.
 		const text_offset pool = r_builder.CreateSharedString(listing.pool);
 		const text_offset zone = r_builder.CreateSharedString(listing.zone);
 		const text_offset address = r_builder.CreateString(to_string(listing.address));
@@ -138,7 +138,7 @@
 	return listings;
 }
 
-/** Writes each kind of message. */
+/** Serialises each kind of message. */
 struct body_writer {
 	builder &target;
 
@@ -268,9 +268,9 @@
 	encoded_body operator()(const report_crashes_message &p_message) const {
 		std::vector<wire::crash_entry> entries;
 		entries.reserve(p_message.news.size());
-		for (const reported_crash &told : p_message.news) {
-			const std::int64_t age_ms = std::clamp<std::int64_t>(told.age.count() / 1000, 0, LONGEST_MS);
-			entries.emplace_back(told.run.place, told.run.content.high, told.run.content.low, told.subject, static_cast<std::uint32_t>(age_ms), static_cast<std::uint8_t>(told.news));
+		for (const reported_crash &crash : p_message.news) {
+			const std::int64_t age_ms = std::clamp<std::int64_t>(crash.age.count() / 1000, 0, MAX_TIME_MS);
+			entries.emplace_back(crash.run.place, crash.run.content.high, crash.run.content.low, crash.subject, static_cast<std::uint32_t>(age_ms), static_cast<std::uint8_t>(crash.news));
 		}
 		return { wire::message_tell_crashes, wire::Createtell_crashes(target, target.CreateVectorOfStructs(entries), p_message.is_whole).Union() };
 	}
@@ -278,10 +278,10 @@
 	encoded_body operator()(const report_limits_message &p_message) const {
 		std::vector<flatbuffers::Offset<wire::limit_entry>> entries;
 		entries.reserve(p_message.limits.size());
-		for (const reported_limit &told : p_message.limits) {
-			const std::int64_t age_ms = std::clamp<std::int64_t>(told.age.count() / 1000, 0, LONGEST_MS);
-			const text_offset name = target.CreateString(told.endpoint.vm);
-			entries.push_back(wire::Createlimit_entry(target, name, told.endpoint.incarnation, told.rate.value_or(0.0), !told.rate.has_value(), static_cast<std::uint32_t>(age_ms)));
+		for (const reported_limit &limit : p_message.limits) {
+			const std::int64_t age_ms = std::clamp<std::int64_t>(limit.age.count() / 1000, 0, MAX_TIME_MS);
+			const text_offset name = target.CreateString(limit.endpoint.vm);
+			entries.push_back(wire::Createlimit_entry(target, name, limit.endpoint.incarnation, limit.rate.value_or(0.0), !limit.rate.has_value(), static_cast<std::uint32_t>(age_ms)));
 		}
 		return { wire::message_tell_limits, wire::Createtell_limits(target, target.CreateVector(entries)).Union() };
 	}
@@ -292,13 +292,13 @@
 		std::vector<wire::prompt_entry> prompts;
 		std::vector<std::uint64_t> chains;
 		std::vector<std::uint32_t> tokens;
-		for (const prompt_record &told : p_message.prompts) {
-			const auto [index, is_new] = indices.try_emplace(told.engine, static_cast<std::uint16_t>(engines.size()));
+		for (const prompt_record &record : p_message.prompts) {
+			const auto [index, is_new] = indices.try_emplace(record.engine, static_cast<std::uint16_t>(engines.size()));
 			if (is_new) {
-				engines.push_back(told.engine);
+				engines.push_back(record.engine);
 			}
-			prompts.emplace_back(told.origin, index->second, static_cast<std::uint16_t>(told.prompt.size()));
-			for (const prompt_link &link : told.prompt) {
+			prompts.emplace_back(record.origin, index->second, static_cast<std::uint16_t>(record.prompt.size()));
+			for (const prompt_link &link : record.prompt) {
 				chains.push_back(link.chain);
 				tokens.push_back(static_cast<std::uint32_t>(link.tokens));
 			}
@@ -328,13 +328,13 @@
 	return p_numbers == nullptr ? std::vector<std::uint64_t>() : std::vector<std::uint64_t>(p_numbers->begin(), p_numbers->end());
 }
 
-/** A node of a version that does not know incarnations sends none; each is 0 then. */
+/** A node whose version does not support incarnations sends none; each is then 0. */
 std::vector<endpoint_identity> read_identities(const flatbuffers::Vector<flatbuffers::Offset<flatbuffers::String>> *p_names, const flatbuffers::Vector<std::uint64_t> *p_incarnations) {
 	std::vector<endpoint_identity> identities;
 	for (std::string &name : read_texts(p_names)) {
 		const flatbuffers::uoffset_t index = static_cast<flatbuffers::uoffset_t>(identities.size());
-		const bool is_told = p_incarnations != nullptr && index < p_incarnations->size();
-		identities.push_back(endpoint_identity{ std::move(name), is_told ? p_incarnations->Get(index) : 0 });
+		const bool is_known = p_incarnations != nullptr && index < p_incarnations->size();
+		identities.push_back(endpoint_identity{ std::move(name), is_known ? p_incarnations->Get(index) : 0 });
 	}
 	return identities;
 }
@@ -354,7 +354,7 @@
 	}
 	if (p_message.commitments() != nullptr) {
 		for (const wire::pool_commitment *entry : *p_message.commitments()) {
-			message.commitments.push_back(pool_commitment{ read(entry->pool()), entry->priority(), duration(static_cast<duration::rep>(std::min(entry->work_us(), LARGEST_WORK_US))) });
+			message.commitments.push_back(pool_commitment{ read(entry->pool()), entry->priority(), duration(static_cast<duration::rep>(std::min(entry->work_us(), MAX_WORK_US))) });
 		}
 	}
 	if (p_message.capacities() != nullptr) {
@@ -400,25 +400,25 @@
 }
 
 report_endpoints_message read_endpoints(const wire::tell_endpoints &p_message) {
-	// Only changes are read from the offset on, so the starts would stay unknown; without it the receiver reads them.
+	// From a non-zero offset the receiver would read only changes and never learn the starts; with 0 it reads them all.
 	const std::uint64_t offset = p_message.knows_starts() ? p_message.offset() : 0;
 	return report_endpoints_message{ read_listings(p_message.endpoints()), log_position{ p_message.era(), offset } };
 }
 
-endpoint_delta read_reading(const wire::tell_reading &p_message) {
-	endpoint_delta reading;
-	reading.from = p_message.from();
-	reading.to = p_message.to();
-	reading.written = read_listings(p_message.written());
-	reading.dropped = read_texts(p_message.dropped());
-	reading.listed = p_message.listed();
-	reading.listed_starts = p_message.listed_starts();
-	reading.era = p_message.era();
-	reading.is_whole = p_message.is_whole();
-	return reading;
+endpoint_delta read_delta(const wire::tell_reading &p_message) {
+	endpoint_delta delta;
+	delta.from = p_message.from();
+	delta.to = p_message.to();
+	delta.written = read_listings(p_message.written());
+	delta.dropped = read_texts(p_message.dropped());
+	delta.listed = p_message.listed();
+	delta.listed_starts = p_message.listed_starts();
+	delta.era = p_message.era();
+	delta.is_whole = p_message.is_whole();
+	return delta;
 }
 
-/** Empty when an index or a count does not fit the rest. */
+/** Returns empty when an index or a count does not match the other fields. */
 std::optional<report_prompts_message> read_prompts(const wire::tell_prompts &p_message) {
 	report_prompts_message message;
 	if (p_message.prompts() == nullptr) {
@@ -434,17 +434,17 @@
 		if (entry->engine() >= engines.size() || next + entry->links() > links) {
 			return std::nullopt;
 		}
-		prompt_record told{ entry->origin(), engines[entry->engine()], {} };
+		prompt_record record{ entry->origin(), engines[entry->engine()], {} };
 		for (const std::size_t end = next + entry->links(); next < end; next++) {
 			const flatbuffers::uoffset_t index = static_cast<flatbuffers::uoffset_t>(next);
-			told.prompt.push_back(prompt_link{ p_message.chains()->Get(index), p_message.tokens()->Get(index) });
+			record.prompt.push_back(prompt_link{ p_message.chains()->Get(index), p_message.tokens()->Get(index) });
 		}
-		message.prompts.push_back(std::move(told));
+		message.prompts.push_back(std::move(record));
 	}
 	return message;
 }
 
-/** Empty when an entry tells a kind of news that is none. */
+/** Returns empty when an entry has an unknown kind of event. */
 std::optional<report_crashes_message> read_crashes(const wire::tell_crashes &p_message) {
 	report_crashes_message message;
 	message.is_whole = p_message.is_whole();
@@ -462,7 +462,7 @@
 	return message;
 }
 
-/** Empty when an entry tells a rate that is none. */
+/** Returns empty when an entry has an invalid rate. */
 std::optional<report_limits_message> read_limits(const wire::tell_limits &p_message) {
 	report_limits_message message;
 	if (p_message.entries() == nullptr) {
@@ -510,7 +510,7 @@
 }
 
 std::string_view get_kind_name(std::size_t p_kind) {
-	// The union of the schema names them in the same order, after one for none.
+	// The union of the schema lists the kinds in the same order, after an entry for none.
 	return wire::EnumNamemessage(static_cast<wire::message>(p_kind + 1));
 }
 
@@ -559,23 +559,23 @@
 		case wire::message_tell_endpoints:
 			return read_endpoints(*frame->body_as_tell_endpoints());
 		case wire::message_tell_reading:
-			return report_delta_message{ read_reading(*frame->body_as_tell_reading()) };
+			return report_delta_message{ read_delta(*frame->body_as_tell_reading()) };
 		case wire::message_tell_crashes: {
-			std::optional<report_crashes_message> told = read_crashes(*frame->body_as_tell_crashes());
-			return told ? std::optional<link_message>(std::move(*told)) : std::nullopt;
+			std::optional<report_crashes_message> decoded = read_crashes(*frame->body_as_tell_crashes());
+			return decoded ? std::optional<link_message>(std::move(*decoded)) : std::nullopt;
 		}
 		case wire::message_tell_limits: {
-			std::optional<report_limits_message> told = read_limits(*frame->body_as_tell_limits());
-			return told ? std::optional<link_message>(std::move(*told)) : std::nullopt;
+			std::optional<report_limits_message> decoded = read_limits(*frame->body_as_tell_limits());
+			return decoded ? std::optional<link_message>(std::move(*decoded)) : std::nullopt;
 		}
 		case wire::message_tell_prompts: {
-			std::optional<report_prompts_message> told = read_prompts(*frame->body_as_tell_prompts());
-			return told ? std::optional<link_message>(std::move(*told)) : std::nullopt;
+			std::optional<report_prompts_message> decoded = read_prompts(*frame->body_as_tell_prompts());
+			return decoded ? std::optional<link_message>(std::move(*decoded)) : std::nullopt;
 		}
 		case wire::message_tell_results: {
-			const wire::tell_results *told = frame->body_as_tell_results();
-			const report_results_message message{ read(told->pool()), read_texts(told->handles()), read_numbers(told->result_bytes()), read_numbers(told->incarnations()) };
-			// A handle without its size, or the reverse, is no message of ours.
+			const wire::tell_results *results = frame->body_as_tell_results();
+			const report_results_message message{ read(results->pool()), read_texts(results->handles()), read_numbers(results->result_bytes()), read_numbers(results->incarnations()) };
+			// Each handle has exactly one size; a message with different counts is malformed.
 			if (message.handles.size() != message.result_bytes.size()) {
 				return std::nullopt;
 			}
--- a/drivers/link_codec.h
+++ b/drivers/link_codec.h
@@ -18,14 +18,14 @@
 
 namespace calicoscale {
 
-/** Messages that peers of an earlier version take for malformed; they are sent only to those that name them. */
+/** Messages that peers of an earlier version reject as malformed; they are sent only to peers that announce the feature. */
 enum class link_feature : std::uint32_t {
 	CRASHES = 1U << 0U,
-	REQUESTED_LISTS = 1U << 1U, ///< Asks for the endpoints when it knows none, and answers a peer that does.
+	REQUESTED_LISTS = 1U << 1U, ///< The node requests the endpoints when it knows none, and answers such requests.
 	LIMITS = 1U << 2U,
 };
 
-/** First message of both ends. */
+/** First message that both ends send. */
 struct hello_message {
 	std::string vm;
 	std::uint64_t incarnation = 0;
@@ -33,31 +33,31 @@
 	std::uint32_t features = 0; ///< Bits of link_feature.
 };
 
-/** Second message of both ends. */
+/** Second message that both ends send; proves knowledge of the fleet key. */
 struct proof_message {
 	std::string code;
 };
 
-/** Asks for the configuration if the receiver has a higher version. */
+/** Requests the configuration if the receiver has a higher version than `have`. */
 struct request_configuration_message {
 	std::uint64_t have = 0;
 };
 
-/** The sender knows no endpoints and asks for all of them. */
+/** Requests all endpoints; sent by a node that knows none. */
 struct request_endpoints_message {};
 
-/** The sender does not tell the endpoints just now, so that the receiver asks another node. */
+/** Declines to send the endpoints at present, so that the receiver requests them from another node. */
 struct decline_endpoints_message {};
 
 using link_message = std::variant<hello_message, proof_message, heartbeat_message, request_configuration_message, configuration_snapshot, pass_request_message, pass_answer_message, assign_work_message, work_ended_message, cancel_work_message, release_results_message, report_prompts_message, report_endpoints_message, report_results_message, report_delta_message, report_crashes_message, request_endpoints_message, decline_endpoints_message, report_limits_message>;
 
-/** Writes a message as the bytes of one frame, its length not included. */
+/** Serialises a message as the bytes of one frame, without the length prefix. */
 std::string encode(const link_message &p_message);
 
-/** Name of a kind of message by its place among the alternatives of link_message, e.g. "heartbeat". */
+/** Returns the name of a kind of message by its index among the alternatives of link_message, e.g. "heartbeat". */
 std::string_view get_kind_name(std::size_t p_kind);
 
-/** Reads a frame; empty when the buffer does not verify or lacks a field. */
+/** Decodes a frame; returns empty when the buffer does not verify or lacks a required field. */
 std::optional<link_message> decode_link_message(std::string_view p_bytes);
 
 } // namespace calicoscale
--- a/drivers/node_link.cpp
+++ b/drivers/node_link.cpp
@@ -32,19 +32,20 @@
 namespace {
 
 constexpr std::size_t LENGTH_BYTES = 4;
-constexpr std::size_t LARGEST_FRAME = 2 * 1024 * 1024;
-/** Before a peer has proved itself it gets to send no more than a hello. */
-constexpr std::size_t LARGEST_UNPROVEN_FRAME = 4 * 1024;
-constexpr std::size_t MOST_UNSENT_BYTES = 8 * 1024 * 1024;
-/** A node that dispatches pools has a link to each node of a fleet of up to some hundreds; each takes one descriptor. */
-constexpr std::size_t MOST_LINKS = 1024;
+constexpr std::size_t MAX_FRAME_BYTES = 2 * 1024 * 1024;
+/** An unauthenticated peer may send no more than a hello message. */
+constexpr std::size_t MAX_UNAUTHENTICATED_FRAME_BYTES = 4 * 1024;
+constexpr std::size_t MAX_UNSENT_BYTES = 8 * 1024 * 1024;
+/** A node that dispatches pools has a link to each node of a fleet of up to some hundreds; each link uses one file descriptor. */
+constexpr std::size_t MAX_LINKS = 1024;
 constexpr duration FIRST_BACK_OFF = std::chrono::milliseconds(250);
 constexpr int SILENCE_SECONDS = 10;
 constexpr int NONCE_BYTES = 16;
 /**
- * Heartbeats come over all links of a peer, each second at the longest. A link read from so much longer ago than another
- * one to the same peer has fallen silent: what is sent over it is lost until SILENCE_SECONDS close it. By its log, a
- * fleet of six got none of 144 results from one another in the seven seconds after all its connections fell silent.
+ * Heartbeats arrive over all links of a peer, at least once a second. A link whose last read is older by this much than
+ * that of another link to the same peer is considered dead: messages sent over it are lost until it is closed after
+ * SILENCE_SECONDS. Without this rule a fleet of six nodes lost all 144 results that its nodes sent each other in the seven
+ * seconds after all their connections became silent.
  */
 constexpr duration STALE_AFTER = std::chrono::milliseconds(1500);
 
@@ -73,9 +74,9 @@
 class node_link::link {
 	node_link &_owner;
 	bufferevent *_stream;
-	std::string _expected_vm; ///< Whom we dialled; empty for an accepted link.
-	std::string _dial_key; ///< What we dialled by; empty for an accepted link.
-	std::string _vm; ///< As proved.
+	std::string _expected_vm; ///< VM that this node dialled; empty for an accepted link.
+	std::string _dial_key; ///< VM or address under which back-off is recorded; empty for an accepted link.
+	std::string _vm; ///< VM of the peer, set once it is authenticated.
 	hello_message _peer;
 	std::string _nonce = make_nonce();
 	instant _read_at = event_loop::now();
@@ -105,18 +106,18 @@
 		_owner._remove(this);
 	}
 
-	/** Reads as many whole frames as are there. */
+	/** Reads all complete frames that have arrived. */
 	void _read() {
 		const activity_scope scope(_owner._loop, activity::LINK_READ);
-		// The owner may drop this link while a frame is handled; the handle keeps it alive until the end.
-		const std::shared_ptr<link> keep = _owner._hold(this);
+		// The owner may remove this link while a frame is handled; this reference keeps it alive until the function returns.
+		const std::shared_ptr<link> keep = _owner._get_shared(this);
 		_read_at = event_loop::now();
 		evbuffer *input = bufferevent_get_input(_stream);
 		while (!_closed && evbuffer_get_length(input) >= LENGTH_BYTES) {
 			std::uint32_t length = 0;
 			evbuffer_copyout(input, &length, LENGTH_BYTES);
 			length = ntohl(length);
-			const std::size_t largest = _proven ? LARGEST_FRAME : LARGEST_UNPROVEN_FRAME;
+			const std::size_t largest = _proven ? MAX_FRAME_BYTES : MAX_UNAUTHENTICATED_FRAME_BYTES;
 			if (length > largest) {
 				_reject();
 				return;
@@ -139,21 +140,21 @@
 
 	void _handle(const link_message &p_message) {
 		if (std::holds_alternative<hello_message>(p_message)) {
-			_take_hello(std::get<hello_message>(p_message));
+			_handle_hello(std::get<hello_message>(p_message));
 			return;
 		}
 		if (std::holds_alternative<proof_message>(p_message)) {
-			_take_proof(std::get<proof_message>(p_message));
+			_handle_proof(std::get<proof_message>(p_message));
 			return;
 		}
 		if (!_proven) {
 			_reject();
 			return;
 		}
-		_hand_out(p_message);
+		_emit(p_message);
 	}
 
-	void _take_hello(const hello_message &p_hello) {
+	void _handle_hello(const hello_message &p_hello) {
 		const bool is_wrong = _has_hello || p_hello.vm.empty() || p_hello.vm == _owner._identity.vm;
 		const bool is_other = !_expected_vm.empty() && p_hello.vm != _expected_vm;
 		if (is_wrong || is_other || _owner._is_cut_off(p_hello.vm)) {
@@ -166,7 +167,7 @@
 		send(proof_message{ _make_code(p_hello.nonce, own.vm, own.incarnation) });
 	}
 
-	void _take_proof(const proof_message &p_proof) {
+	void _handle_proof(const proof_message &p_proof) {
 		if (!_has_hello || _proven || !equal_in_constant_time(p_proof.code, _make_code(_nonce, _peer.vm, _peer.incarnation))) {
 			_reject();
 			return;
@@ -176,18 +177,18 @@
 		_owner._on_proven(this);
 	}
 
-	void _hand_out(const link_message &p_message) {
+	void _emit(const link_message &p_message) {
 		const activity_scope scope(_owner._loop, get_activity(p_message));
 		if (const auto *heartbeat = std::get_if<heartbeat_message>(&p_message)) {
 			_owner._heartbeat_received.emit(_vm, *heartbeat);
-		} else if (const auto *ask = std::get_if<request_configuration_message>(&p_message)) {
-			_owner._configuration_asked.emit(_vm, ask->have);
+		} else if (const auto *configuration_request = std::get_if<request_configuration_message>(&p_message)) {
+			_owner._configuration_requested.emit(_vm, configuration_request->have);
 		} else if (std::holds_alternative<request_endpoints_message>(p_message)) {
-			_owner._endpoints_asked.emit(_vm);
+			_owner._endpoints_requested.emit(_vm);
 		} else if (std::holds_alternative<decline_endpoints_message>(p_message)) {
 			_owner._endpoints_declined.emit(_vm);
-		} else if (const auto *told = std::get_if<configuration_snapshot>(&p_message)) {
-			_owner._configuration_told.emit(_vm, *told);
+		} else if (const auto *snapshot = std::get_if<configuration_snapshot>(&p_message)) {
+			_owner._configuration_reported.emit(_vm, *snapshot);
 		} else if (const auto *request = std::get_if<pass_request_message>(&p_message)) {
 			_owner._request_passed.emit(_vm, *request);
 		} else if (const auto *answer = std::get_if<pass_answer_message>(&p_message)) {
@@ -199,19 +200,19 @@
 		} else if (const auto *cancelled = std::get_if<cancel_work_message>(&p_message)) {
 			_owner._work_cancelled.emit(_vm, *cancelled);
 		} else if (const auto *results = std::get_if<report_results_message>(&p_message)) {
-			_owner._results_told.emit(_vm, *results);
+			_owner._results_reported.emit(_vm, *results);
 		} else if (const auto *released = std::get_if<release_results_message>(&p_message)) {
 			_owner._results_released.emit(_vm, *released);
 		} else if (const auto *prompts = std::get_if<report_prompts_message>(&p_message)) {
-			_owner._prompts_told.emit(_vm, *prompts);
+			_owner._prompts_reported.emit(_vm, *prompts);
 		} else if (const auto *endpoints = std::get_if<report_endpoints_message>(&p_message)) {
-			_owner._endpoints_told.emit(_vm, *endpoints);
-		} else if (const auto *reading = std::get_if<report_delta_message>(&p_message)) {
-			_owner._reading_told.emit(_vm, *reading);
+			_owner._endpoints_reported.emit(_vm, *endpoints);
+		} else if (const auto *delta = std::get_if<report_delta_message>(&p_message)) {
+			_owner._delta_reported.emit(_vm, *delta);
 		} else if (const auto *crashes = std::get_if<report_crashes_message>(&p_message)) {
-			_owner._crashes_told.emit(_vm, *crashes);
+			_owner._crashes_reported.emit(_vm, *crashes);
 		} else if (const auto *limits = std::get_if<report_limits_message>(&p_message)) {
-			_owner._limits_told.emit(_vm, *limits);
+			_owner._limits_reported.emit(_vm, *limits);
 		}
 	}
 
@@ -221,7 +222,7 @@
 		bufferevent_setcb(_stream, &link::_on_readable, nullptr, &link::_on_event, this);
 		const timeval silence{ SILENCE_SECONDS, 0 };
 		bufferevent_set_timeouts(_stream, &silence, &silence);
-		bufferevent_setwatermark(_stream, EV_READ, 0, LARGEST_FRAME + LENGTH_BYTES);
+		bufferevent_setwatermark(_stream, EV_READ, 0, MAX_FRAME_BYTES + LENGTH_BYTES);
 		bufferevent_enable(_stream, EV_READ | EV_WRITE);
 	}
 
@@ -232,16 +233,16 @@
 	link(const link &) = delete;
 	link &operator=(const link &) = delete;
 
-	/** The connection stands: says who we are. */
+	/** Sends the hello message over an established connection. */
 	void begin() {
 		const int on = 1;
 		setsockopt(bufferevent_getfd(_stream), IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
 		send(hello_message{ _owner._identity.vm, _owner._identity.incarnation, _nonce, _owner._get_features() });
 	}
 
-	/** @return whether the message is on its way: a peer that does not read is not worth the memory. */
+	/** @return whether the message was queued. It is dropped when the peer does not read, to bound the memory of the queue. */
 	bool send(const link_message &p_message) {
-		if (_closed || evbuffer_get_length(bufferevent_get_output(_stream)) > MOST_UNSENT_BYTES) {
+		if (_closed || evbuffer_get_length(bufferevent_get_output(_stream)) > MAX_UNSENT_BYTES) {
 			return false;
 		}
 		const std::string bytes = encode(p_message);
@@ -287,7 +288,7 @@
 
 void node_link::_on_accept(evconnlistener *, int p_socket, sockaddr *, int, void *p_self) {
 	node_link &self = *static_cast<node_link *>(p_self);
-	if (self._links.size() >= MOST_LINKS) {
+	if (self._links.size() >= MAX_LINKS) {
 		evutil_closesocket(p_socket);
 		return;
 	}
@@ -300,7 +301,7 @@
 	_links.push_back(std::make_shared<link>(*this, p_stream, p_expected_vm, p_dial_key));
 }
 
-std::shared_ptr<node_link::link> node_link::_hold(link *p_link) const {
+std::shared_ptr<node_link::link> node_link::_get_shared(link *p_link) const {
 	const auto found = std::find_if(_links.begin(), _links.end(), [p_link](const std::shared_ptr<link> &p_entry) { return p_entry.get() == p_link; });
 	return found == _links.end() ? nullptr : *found;
 }
@@ -337,7 +338,7 @@
 }
 
 void node_link::_remove(link *p_link) {
-	const std::shared_ptr<link> removed = _hold(p_link);
+	const std::shared_ptr<link> removed = _get_shared(p_link);
 	if (!removed) {
 		return;
 	}
@@ -350,7 +351,7 @@
 			_proven.erase(proven);
 		}
 	}
-	// Freed from the loop, as this may run inside one of the link's own callbacks.
+	// The link is freed from the event loop, as this function may run inside one of the link's own callbacks.
 	_loop.post([removed] {});
 	const std::string vm = removed->get_vm();
 	if (removed->is_proven() && _find(vm) == nullptr) {
@@ -404,8 +405,8 @@
 }
 
 void node_link::send(const std::string &p_vm, const heartbeat_message &p_message) {
-	// Two nodes that dial each other at once have two links, and each end may use another one for what it sends. Heartbeats
-	// go over both, as a link on which nothing comes in is closed.
+	// Two nodes that dial each other at the same time have two links, and each end may send over a different one. Heartbeats
+	// are sent over both, as a link without incoming data is closed.
 	const auto found = _proven.find(p_vm);
 	if (found == _proven.end()) {
 		return;
--- a/drivers/platform_log.cpp
+++ b/drivers/platform_log.cpp
@@ -21,7 +21,7 @@
 using json = nlohmann::json;
 
 constexpr duration READ_TIMEOUT = std::chrono::seconds(3);
-constexpr std::size_t LARGEST_READ = 64 * 1024 * 1024;
+constexpr std::size_t MAX_READ_BYTES = 64 * 1024 * 1024;
 constexpr int STATUS_OK = 200;
 constexpr std::string_view NOT_APPENDED = "Not-Appended";
 
@@ -106,7 +106,7 @@
 	call.to = _address;
 	call.path = make_path(p_stream) + "?from=" + std::to_string(p_from) + "&most=" + std::to_string(p_most);
 	call.timeout = READ_TIMEOUT;
-	call.largest_answer = LARGEST_READ;
+	call.largest_answer = MAX_READ_BYTES;
 	http_hooks hooks;
 	hooks.on_end = [hook = std::move(p_hook)](const http_result &p_result) { hook(parse_read(p_result)); };
 	_client.start(call, std::move(hooks));
--- a/drivers/platform_log.h
+++ b/drivers/platform_log.h
@@ -20,20 +20,20 @@
 
 namespace calicoscale {
 
-/** Streams this system keeps on the log. */
+/** Streams that this system stores in the log. */
 enum class log_stream {
 	CONFIGURATION,
 	CLAIMS,
 	LEDGER,
 };
 
-/** Name of a stream on the log, e.g. "configuration". */
+/** Returns the name of a stream in the log, e.g. "configuration". */
 std::string_view get_name(log_stream p_stream);
 
 /** One read of a stream. */
 struct log_read {
-	std::uint64_t earliest = 0; ///< First offset the log still has.
-	std::uint64_t next = 0; ///< Offset the next append would get, as far as known.
+	std::uint64_t earliest = 0; ///< First offset that the log still stores.
+	std::uint64_t next = 0; ///< Offset of the next append, as far as known.
 	std::vector<log_entry> entries;
 };
 
@@ -48,7 +48,7 @@
 	/** Appends a record; the hook is called once. */
 	void append(log_stream p_stream, const std::string &p_bytes, duration p_timeout, std::function<void(append_result p_result, std::uint64_t p_offset)> p_hook);
 
-	/** Reads records from an offset on; the hook gets nothing when the log did not answer in full. */
+	/** Reads records from an offset on; the hook receives an empty value unless the log sent a complete answer. */
 	void read(log_stream p_stream, std::uint64_t p_from, std::size_t p_most, std::function<void(const std::optional<log_read> &p_read)> p_hook);
 
 	const network_address &get_address() const { return _address; }
--- a/drivers/rollout_wire.cpp
+++ b/drivers/rollout_wire.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: rollout_wire.cpp
- * FlatBuffers form of what nodes tell each other of roll-outs.
+ * FlatBuffers form of the roll-out updates between nodes.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -14,16 +14,16 @@
 
 namespace {
 
-/** Longer times are none, and would overflow when added to the clock. */
-constexpr std::int64_t LONGEST_MS = 30LL * 24 * 3600 * 1000;
-constexpr std::size_t MOST_CELLS = version_tally::MAX_ROUTES * (version_tally::TARGET_GROUPS + 1U) * 2;
+/** Longer times are invalid and would overflow when added to the clock. */
+constexpr std::int64_t MAX_TIME_MS = 30LL * 24 * 3600 * 1000;
+constexpr std::size_t MAX_CELLS = version_tally::MAX_ROUTES * (version_tally::TARGET_GROUPS + 1U) * 2;
 
 std::string read(const flatbuffers::String *p_text) {
 	return p_text == nullptr ? std::string() : p_text->str();
 }
 
 duration read_ms(std::int64_t p_ms) {
-	return std::chrono::milliseconds(std::clamp<std::int64_t>(p_ms, 0, LONGEST_MS));
+	return std::chrono::milliseconds(std::clamp<std::int64_t>(p_ms, 0, MAX_TIME_MS));
 }
 
 std::int64_t write_ms(duration p_time) {
@@ -36,7 +36,7 @@
 	std::vector<answer_counts> cells;
 	if (p_cells != nullptr) {
 		for (const wire::rollout_cell *cell : *p_cells) {
-			if (cell->group() <= version_tally::TARGET_GROUPS && cells.size() < MOST_CELLS) {
+			if (cell->group() <= version_tally::TARGET_GROUPS && cells.size() < MAX_CELLS) {
 				cells.push_back(answer_counts{ cell->route(), static_cast<std::uint8_t>(cell->group()), cell->answers(), cell->bad() });
 			}
 		}
@@ -71,15 +71,15 @@
 		return 0;
 	}
 	std::vector<flatbuffers::Offset<wire::rollout_entry>> entries;
-	for (const rollout_update &told : p_rollouts) {
-		const auto service = r_builder.CreateString(told.order.service);
-		const auto version = r_builder.CreateString(told.order.target_version);
-		const auto barred = r_builder.CreateVectorOfStrings(told.barred);
-		const version_windows &answers = told.report.answers;
+	for (const rollout_update &update : p_rollouts) {
+		const auto service = r_builder.CreateString(update.order.service);
+		const auto version = r_builder.CreateString(update.order.target_version);
+		const auto barred = r_builder.CreateVectorOfStrings(update.barred);
+		const version_windows &answers = update.report.answers;
 		const auto current = write_tally(r_builder, answers.get_current());
 		const auto previous = write_tally(r_builder, answers.get_previous());
-		const auto past = write_tally(r_builder, told.past);
-		entries.push_back(wire::Createrollout_entry(r_builder, service, version, write_ms(told.order.time), told.order.at.era, told.order.at.offset, told.order.is_withdrawn, write_ms(told.age), static_cast<std::uint8_t>(told.state), told.is_confirmed, told.is_written, told.is_moving, barred, told.report.nodes, told.report.moved, told.report.open_at_present, current, told.is_age_estimated, answers.get_index(), previous, past));
+		const auto past = write_tally(r_builder, update.past);
+		entries.push_back(wire::Createrollout_entry(r_builder, service, version, write_ms(update.order.time), update.order.at.era, update.order.at.offset, update.order.is_withdrawn, write_ms(update.age), static_cast<std::uint8_t>(update.state), update.is_confirmed, update.is_written, update.is_moving, barred, update.report.nodes, update.report.moved, update.report.open_at_present, current, update.is_age_estimated, answers.get_index(), previous, past));
 	}
 	return r_builder.CreateVector(entries);
 }
@@ -90,29 +90,29 @@
 		return rollouts;
 	}
 	for (const wire::rollout_entry *entry : *p_entries) {
-		rollout_update told;
-		told.order.service = read(entry->service());
-		if (told.order.service.empty() || entry->state() >= static_cast<std::uint8_t>(rollout_state::COUNT)) {
+		rollout_update update;
+		update.order.service = read(entry->service());
+		if (update.order.service.empty() || entry->state() >= static_cast<std::uint8_t>(rollout_state::COUNT)) {
 			continue;
 		}
-		told.order.target_version = read(entry->target_version());
-		told.order.time = read_ms(entry->time_ms());
-		told.order.at = log_position{ entry->era(), entry->offset() };
-		told.order.is_withdrawn = entry->is_withdrawn();
-		told.age = read_ms(entry->age_ms());
-		told.is_age_estimated = entry->is_age_estimated();
-		told.state = static_cast<rollout_state>(entry->state());
-		told.is_confirmed = entry->is_confirmed();
-		told.is_written = entry->is_written();
-		told.is_moving = entry->is_moving();
+		update.order.target_version = read(entry->target_version());
+		update.order.time = read_ms(entry->time_ms());
+		update.order.at = log_position{ entry->era(), entry->offset() };
+		update.order.is_withdrawn = entry->is_withdrawn();
+		update.age = read_ms(entry->age_ms());
+		update.is_age_estimated = entry->is_age_estimated();
+		update.state = static_cast<rollout_state>(entry->state());
+		update.is_confirmed = entry->is_confirmed();
+		update.is_written = entry->is_written();
+		update.is_moving = entry->is_moving();
 		if (entry->barred() != nullptr) {
 			for (const flatbuffers::String *version : *entry->barred()) {
-				told.barred.push_back(read(version));
+				update.barred.push_back(read(version));
 			}
 		}
-		told.report = read_report(*entry);
-		told.past = read_tally(entry->past_cells());
-		rollouts.push_back(std::move(told));
+		update.report = read_report(*entry);
+		update.past = read_tally(entry->past_cells());
+		rollouts.push_back(std::move(update));
 	}
 	return rollouts;
 }
--- a/drivers/rollout_wire.h
+++ b/drivers/rollout_wire.h
@@ -18,10 +18,10 @@
 
 using rollout_offsets = flatbuffers::Vector<flatbuffers::Offset<wire::rollout_entry>>;
 
-/** Writes them; nothing when there are none. */
+/** Serialises the roll-outs; returns a null offset when there are none. */
 flatbuffers::Offset<rollout_offsets> write_rollouts(flatbuffers::FlatBufferBuilder &r_builder, const std::vector<rollout_update> &p_rollouts);
 
-/** Reads them. An entry that names no service, or a state that is none, is left out. */
+/** Decodes the roll-outs. Skips entries without a service or with an unknown state. */
 std::vector<rollout_update> read_rollouts(const rollout_offsets *p_entries);
 
 } // namespace calicoscale
--- a/drivers/vm_list.cpp
+++ b/drivers/vm_list.cpp
@@ -17,7 +17,7 @@
 using json = nlohmann::json;
 
 constexpr duration FETCH_TIMEOUT = std::chrono::seconds(2);
-constexpr std::size_t LARGEST_LIST = 16 * 1024 * 1024;
+constexpr std::size_t MAX_LIST_BYTES = 16 * 1024 * 1024;
 constexpr int STATUS_OK = 200;
 
 endpoint_listing read_endpoint(const json &p_vm) {
@@ -81,7 +81,7 @@
 	call.to = _address;
 	call.path = "/v1/vms";
 	call.timeout = FETCH_TIMEOUT;
-	call.largest_answer = LARGEST_LIST;
+	call.largest_answer = MAX_LIST_BYTES;
 	http_hooks hooks;
 	hooks.on_end = [hook = std::move(p_hook)](const http_result &p_result) { hook(parse_listing(p_result)); };
 	_client.start(call, std::move(hooks));
--- a/drivers/vm_list.h
+++ b/drivers/vm_list.h
@@ -18,11 +18,11 @@
 
 namespace calicoscale {
 
-/** One reading of the list. */
+/** One snapshot of the list. */
 struct vm_listing {
 	std::vector<endpoint_listing> endpoints;
 	std::vector<entry_listing> entries;
-	std::size_t bytes = 0; ///< Size of the answer.
+	std::size_t bytes = 0; ///< Size of the answer in bytes.
 };
 
 /** Client of the list service, whose interface docs/PLATFORM.md gives. */
@@ -33,7 +33,7 @@
 public:
 	vm_list(http_client &p_client, network_address p_address);
 
-	/** Fetches the list; the hook gets nothing when there was no whole, well-formed answer. */
+	/** Fetches the list; the hook receives an empty value unless a complete, well-formed answer arrived. */
 	void fetch(std::function<void(const std::optional<vm_listing> &p_listing)> p_hook);
 };
 
