--- a/drivers/endpoint_channels.cpp
+++ b/drivers/endpoint_channels.cpp
@@ -36,7 +36,7 @@
 constexpr int KEEPALIVE_INTERVAL_S = 1;
 constexpr int KEEPALIVE_PROBES = 2;
 constexpr duration SWEEP_INTERVAL = std::chrono::seconds(1);
-/** Idle connections are closed after this time, or after KEEP_ALIVE_SHARE of the time that the endpoint advertises. */
+/** Idle connections are closed after this time, or after KEEP_ALIVE_SHARE of the time that the endpoint advertises if that is shorter. */
 constexpr duration MAX_KEPT_TIME = std::chrono::seconds(4);
 constexpr double KEEP_ALIVE_SHARE = 0.6;
 /**
--- a/drivers/link_codec.cpp
+++ b/drivers/link_codec.cpp
@@ -333,8 +333,8 @@
 	std::vector<endpoint_identity> identities;
 	for (std::string &name : read_texts(p_names)) {
 		const flatbuffers::uoffset_t index = static_cast<flatbuffers::uoffset_t>(identities.size());
-		const bool is_known = p_incarnations != nullptr && index < p_incarnations->size();
-		identities.push_back(endpoint_identity{ std::move(name), is_known ? p_incarnations->Get(index) : 0 });
+		const bool has_incarnation = p_incarnations != nullptr && index < p_incarnations->size();
+		identities.push_back(endpoint_identity{ std::move(name), has_incarnation ? p_incarnations->Get(index) : 0 });
 	}
 	return identities;
 }
--- a/drivers/node_link.cpp
+++ b/drivers/node_link.cpp
@@ -44,8 +44,8 @@
 /**
  * Heartbeats arrive over all links of a peer, at least once a second. A link whose last read is older by this much than
  * that of another link to the same peer is considered dead: messages sent over it are lost until it is closed after
- * SILENCE_SECONDS. Without this rule a fleet of six nodes lost all 144 results that its nodes sent each other in the seven
- * seconds after all their connections became silent.
+ * SILENCE_SECONDS. In a fleet of six nodes none of 144 results sent between the nodes arrived in the seven seconds after
+ * all connections became silent.
  */
 constexpr duration STALE_AFTER = std::chrono::milliseconds(1500);
 
--- a/drivers/node_link.h
+++ b/drivers/node_link.h
@@ -53,7 +53,7 @@
 	bool follows = false; ///< The sender follows the configuration in the store, and the store answered it recently.
 	duration next_in = duration::zero(); ///< Time until the next heartbeat to the same peer; zero when the sender does not report it.
 	bool wants_link = false; ///< The sender needs this link, so the receiver must send heartbeats back.
-	bool relies_on_you = false; ///< The receiver is the hub that the sender follows.
+	bool relies_on_you = false; ///< The receiver is the hub that the sender follows, i.e. through which it knows the fleet.
 	bool is_total = false; ///< The commitments are those of the whole fleet, for nodes that follow the sender.
 	std::uint32_t zone_nodes = 0; ///< Number of nodes of the sender's zone that the sender considers live; reported by hubs.
 	std::uint32_t fleet_nodes = 0; ///< Number of live nodes of all zones; reported by hubs.
