--- a/core/digest.h
+++ b/core/digest.h
@@ -64,7 +64,7 @@
 	/** Adds the next token. */
 	void add(std::string_view p_token) { _state = hash_bytes(p_token, _state + 1); }
 
-	/** Digest of all tokens so far as 16 hexadecimal digits; depends on the borders between tokens. */
+	/** Digest of all tokens so far as 16 hexadecimal digits; depends on the boundaries between tokens. */
 	std::string to_string() const;
 };
 
--- a/core/random_source.h
+++ b/core/random_source.h
@@ -15,7 +15,7 @@
 
 namespace calicoscale {
 
-/** Seeded generator that is passed to the code that decides. */
+/** Seeded random generator, passed as a parameter to code that makes random decisions. */
 class random_source {
 	std::mt19937_64 _engine;
 
--- a/main/gateway/crash_guard.h
+++ b/main/gateway/crash_guard.h
@@ -52,7 +52,7 @@
 
 	void start();
 
-	/** Whether this node has received the records of others, or has waited long enough for them. */
+	/** Returns whether this node has received the records of the other nodes, or MAX_SYNCHRONIZATION_WAIT has passed since its start. */
 	bool is_synchronized() const;
 
 	/** Returns the verdict on a request. Reads the request's body only if there are records for its target. */
--- a/servers/configuration/configuration_fold.cpp
+++ b/servers/configuration/configuration_fold.cpp
@@ -90,8 +90,8 @@
 	}
 	const version_state candidate{ p_offset + 1, p_change->change_id, p_change->document };
 	try {
-		// The check also runs for a version that a peer relayed earlier: acceptance must not depend on the configuration in
-		// force.
+		// The document is checked also when a peer relayed this version earlier and it is already in force: whether a record is
+		// accepted must not depend on the configuration in force at this node.
 		_check(candidate.document);
 	} catch (const document_error &error) {
 		entry.status = change_status::INVALID;
--- a/servers/configuration/configuration_fold.h
+++ b/servers/configuration/configuration_fold.h
@@ -28,7 +28,7 @@
 /** Result of a change. */
 enum class change_status {
 	ACCEPTED,
-	OVERTAKEN, ///< Its base wasn't the current version of the fold.
+	OVERTAKEN, ///< Its base wasn't the version of the configuration after the preceding records.
 	INVALID, ///< Malformed, oversized or failing the checks.
 	UNDECIDED, ///< Read while the preceding versions were unknown to this node.
 };
@@ -44,7 +44,7 @@
 	std::string author;
 	unix_milliseconds written_at = 0;
 	std::uint64_t base = 0;
-	std::uint64_t version_after = 0; ///< Version of the fold after this record.
+	std::uint64_t version_after = 0; ///< Version of the configuration after this record.
 	std::string detail; ///< For INVALID: every mistake, with its position in the document.
 };
 
@@ -52,7 +52,7 @@
 struct configuration_snapshot {
 	std::uint64_t version = 0;
 	std::uint64_t position = 0; ///< All records below this log offset are applied; valid only if certain.
-	bool certain = false; ///< Whether the version is the result of the fold up to the position.
+	bool certain = false; ///< Whether the version results from applying all records below the position in order.
 	std::string change_id;
 	std::string document;
 };
--- a/servers/gateway/commitment_table.h
+++ b/servers/gateway/commitment_table.h
@@ -43,7 +43,7 @@
  * followers, and sends its followers the sum over all nodes, so that a node's state and messages do not grow with the fleet.
  */
 class commitment_table {
-	using work_map = std::map<std::pair<std::string, int>, duration>; ///< By pool and priority.
+	using work_map = std::map<std::pair<std::string, int>, duration>; ///< Work as the time that one replica needs for it, see get_cost(); by pool and priority.
 
 	work_map _own;
 	std::map<std::string, work_map> _peers; ///< Of other hubs, their followers included.
--- a/servers/gateway/dispatcher_selection.h
+++ b/servers/gateway/dispatcher_selection.h
@@ -20,7 +20,7 @@
 
 /** A node's current view of the dispatching nodes. */
 struct dispatch_view {
-	std::string vm; ///< This node.
+	std::string vm; ///< VM of this node.
 	std::vector<std::string> nodes; ///< Known dispatching nodes.
 	bool is_follower = false; ///< This node is a follower: its hub reports which nodes dispatch.
 	std::function<bool(const std::string &)> is_linked; ///< Returns whether a link to a node is established.
--- a/servers/gateway/endpoint_limits.h
+++ b/servers/gateway/endpoint_limits.h
@@ -67,7 +67,7 @@
 
 	struct cold_time {
 		double rate = 0.0; ///< Requests a second.
-		duration reported = duration::zero(); ///< Remaining cold time in its last entry.
+		duration reported = duration::zero(); ///< Remaining cold time according to the endpoint's last list entry.
 		instant since{};
 		instant until{};
 	};
--- a/servers/gateway/retry_window.h
+++ b/servers/gateway/retry_window.h
@@ -18,7 +18,7 @@
 
 /** Limits on repeated sends that apply to all nodes together. */
 struct retry_bounds {
-	double ratio = 0.2; ///< Repeats per request.
+	double ratio = 0.2; ///< Maximum number of repeated sends per request.
 	double slack = 50.0; ///< Repeats in a window in addition to the ratio, all nodes together.
 	duration window = std::chrono::seconds(10);
 };
--- a/servers/gateway/sender_slots.h
+++ b/servers/gateway/sender_slots.h
@@ -32,7 +32,7 @@
  * ranked by a hash: one each, or more when there are fewer nodes than slots. The nodes exchange no messages for this.
  *
  * A slot that a node has according to the nodes it knows now becomes active only after a delay. By then the nodes that had
- * the slot before know of this node, and what they sent is older than the second in which sends count. So a node that has
+ * the slot before know of this node, and their sends are older than the one-second window of the rate limit. So a node that has
  * just started, or that others do not know yet, begins after the previous holder stops. Nodes that disagree for longer
  * than the delay about which nodes exist may each claim the same slot, so the total rate may double meanwhile.
  */
--- a/servers/limits/stage_times.h
+++ b/servers/limits/stage_times.h
@@ -21,7 +21,7 @@
 enum class time_kind {
 	TOTAL, ///< From the start to the complete answer.
 	FIRST_TOKEN, ///< From the start to the first token of a stream.
-	UNLOADED, ///< As WHOLE, but with a long half-life; its low quantiles estimate the time without queueing.
+	UNLOADED, ///< As TOTAL, but with a long half-life; its low quantiles estimate the time without queueing.
 };
 
 /** Class of input sizes; the bounds of classes are spaced by a factor of four, as the cost grows with the size. */
--- a/servers/once/once_answer.h
+++ b/servers/once/once_answer.h
@@ -28,7 +28,7 @@
 	WAIT, ///< Another submission runs it, or claims its key, at this node; its outcome answers both.
 	REPLAY, ///< The request has run; its stored outcome is the answer.
 	PASS_ON, ///< Another node owns the key; the request is forwarded to it.
-	CLAIM, ///< The key has to be claimed on the log first.
+	CLAIM, ///< The caller first claims the key by a record on the log.
 	REFUSE, ///< The request isn't run; the refusal says why.
 };
 
--- a/servers/rollout/rollout.h
+++ b/servers/rollout/rollout.h
@@ -69,7 +69,7 @@
 	std::vector<std::string> _target_endpoints; ///< Names of the target's endpoints that aren't leaving.
 	std::size_t _current_endpoint_count = 0;
 	bool _is_fresh = false;
-	instant _quiet_since{}; ///< Since when no work is open at the current version and all nodes send to the target alone.
+	instant _quiet_since{}; ///< Time since which no request or call is open at the current version and all nodes send to the target only.
 	bool _is_quiet = false;
 	version_verdict _verdict;
 	version_windows _answers; ///< Counted by this node.
--- a/servers/rollout/rollout_order.h
+++ b/servers/rollout/rollout_order.h
@@ -30,7 +30,7 @@
 /** State of an order. COMPLETED and ROLLED_BACK are final. */
 enum class rollout_state : std::uint8_t {
 	IN_PROGRESS,
-	COMPLETED, ///< Endpoints of other versions are stopped immediately after this.
+	COMPLETED, ///< Endpoints of other versions are stopped as soon as the order is in this state.
 	ROLLED_BACK,
 	COUNT,
 };
--- a/servers/rollout/rollout_report.h
+++ b/servers/rollout/rollout_report.h
@@ -20,7 +20,7 @@
 
 /** Counts of one node, or the sum over several. */
 struct rollout_report {
-	log_position order; ///< Reports of different orders aren't added up.
+	log_position order; ///< Log position of the order that this report belongs to. Reports of different orders aren't added up.
 	std::uint32_t nodes = 0; ///< Nodes whose counts are included.
 	std::uint32_t moved = 0; ///< Nodes that send to the target only.
 	std::uint32_t open_at_present = 0; ///< Open requests and calls at endpoints of the current version.
