--- a/core/work_meter.cpp
+++ b/core/work_meter.cpp
@@ -13,16 +13,16 @@
 namespace calicoscale {
 
 void work_meter::_book(instant p_now) {
-	const duration passed = p_now - _booked_until;
+	const duration passed = p_now - _accounted_until;
 	_sum.amounts[static_cast<std::size_t>(_open.back())].time += passed;
 	_sum.busy += passed;
-	_booked_until = p_now;
+	_accounted_until = p_now;
 }
 
 void work_meter::begin(activity p_activity, instant p_now) {
 	if (_open.empty()) {
 		_begun_at = p_now;
-		_booked_until = p_now;
+		_accounted_until = p_now;
 	} else {
 		_book(p_now);
 	}
--- a/core/work_meter.h
+++ b/core/work_meter.h
@@ -40,7 +40,7 @@
  */
 class work_meter {
 	std::vector<activity> _open; ///< Running activities, innermost last.
-	instant _booked_until{}; ///< End of the time that is already added to _sum.
+	instant _accounted_until{}; ///< End of the time that is already added to _sum.
 	instant _begun_at{}; ///< Start of the outermost activity.
 	work_sum _sum;
 
--- a/main/gateway/gateway.cpp
+++ b/main/gateway/gateway.cpp
@@ -33,7 +33,7 @@
 /** Part of the grace period reserved for an orderly exit. */
 constexpr duration STOP_MARGIN = std::chrono::milliseconds(300);
 /** Time before STOP_MARGIN in which final answers reach their callers. */
-constexpr duration ANSWER_TIME = std::chrono::milliseconds(250);
+constexpr duration FINAL_ANSWER_TIME = std::chrono::milliseconds(250);
 constexpr duration SETTLE_INTERVAL = std::chrono::milliseconds(20);
 /** Maximum time to learn of the fleet after a start. All nodes may start within a third of a second of each other, and a failed link is
  * retried after a quarter of a second. */
@@ -321,7 +321,7 @@
 	}
 	const duration timeout = p_request.route->timeout;
 	const instant last_end = event_loop::now() + std::min(timeout, p_request.facts.remaining.value_or(timeout));
-	if (last_end <= _stop_started + _context.settings.stop_grace - STOP_MARGIN - ANSWER_TIME) {
+	if (last_end <= _stop_started + _context.settings.stop_grace - STOP_MARGIN - FINAL_ANSWER_TIME) {
 		return false;
 	}
 	_refuse(*p_request.exchange, http_status::UNAVAILABLE, reason::DRAINING);
@@ -472,7 +472,7 @@
 			_enter(stop_phase::FINISHING, "finishing");
 		}
 	}
-	if (_phase == stop_phase::FINISHING && since >= grace - STOP_MARGIN - ANSWER_TIME) {
+	if (_phase == stop_phase::FINISHING && since >= grace - STOP_MARGIN - FINAL_ANSWER_TIME) {
 		_enter(stop_phase::ANSWERING, "answering");
 		_answer_all();
 	}
--- a/main/gateway/gateway_fleet.cpp
+++ b/main/gateway/gateway_fleet.cpp
@@ -379,7 +379,7 @@
 	return role;
 }
 
-gateway_fleet::heartbeat_drafts gateway_fleet::_make_texts(bool p_with_relayed_digests) {
+gateway_fleet::heartbeat_drafts gateway_fleet::_make_heartbeat_drafts(bool p_with_relayed_digests) {
 	_members.update_self(_ready, _leaving, _configuration.get_version(), {});
 	heartbeat_drafts texts;
 	std::vector<member_digest> digests = p_with_relayed_digests ? _members.make_heartbeat() : _members.make_own_heartbeat();
@@ -458,7 +458,7 @@
 void gateway_fleet::_send_heartbeats(heartbeat_scope p_scope) {
 	const instant now = event_loop::now();
 	const bool has_rumours = p_scope == heartbeat_scope::DUE && _heartbeat_count++ % HEARTBEATS_PER_RELAY == 0;
-	const heartbeat_drafts texts = _make_texts(has_rumours);
+	const heartbeat_drafts texts = _make_heartbeat_drafts(has_rumours);
 	for (const std::string &vm : _link.get_linked()) {
 		const peer_role role = _get_role(vm, now);
 		const bool is_due = role.is_needed && _contacts.is_due(vm, role.is_close, role.receives_updates, now);
@@ -476,7 +476,7 @@
 	_feed.restart(p_vm);
 	_greeted.erase(p_vm);
 	_reported.on_contact(p_vm);
-	_send_heartbeat(p_vm, _get_role(p_vm, event_loop::now()), _make_texts(false));
+	_send_heartbeat(p_vm, _get_role(p_vm, event_loop::now()), _make_heartbeat_drafts(false));
 }
 
 void gateway_fleet::_on_link_down(const std::string &p_vm) {
@@ -603,7 +603,7 @@
 	_store.on_heartbeat(p_vm, p_message, peer == nullptr ? 0 : peer->digest.configuration_version);
 	if (_greeted.insert(p_vm).second) {
 		// The peer's zone, which decides what the peer needs to know, is known only now.
-		_send_heartbeat(p_vm, _get_role(p_vm, now), _make_texts(true));
+		_send_heartbeat(p_vm, _get_role(p_vm, now), _make_heartbeat_drafts(true));
 	}
 	_request_list();
 	if (peer != nullptr) {
--- a/main/gateway/gateway_fleet.h
+++ b/main/gateway/gateway_fleet.h
@@ -97,7 +97,7 @@
 	void _log_dispatchers();
 	void _set_unreachable_zones(std::set<std::string> p_zones);
 	peer_role _get_role(const std::string &p_vm, instant p_now) const;
-	heartbeat_drafts _make_texts(bool p_with_relayed_digests);
+	heartbeat_drafts _make_heartbeat_drafts(bool p_with_relayed_digests);
 	void _add_members(const std::string &p_vm, const heartbeat_drafts &p_texts, heartbeat_message &r_message);
 	void _send_heartbeat(const std::string &p_vm, const peer_role &p_role, const heartbeat_drafts &p_texts);
 	void _send_heartbeats(heartbeat_scope p_scope);
--- a/misc/scripts/mutations.sh
+++ b/misc/scripts/mutations.sh
@@ -56,7 +56,7 @@
 mutate "deadline before the first byte" "a place given late is used" $flow "_slot_granted_at = p_now;
 	if (p_now >= _plan.deadline)" "_slot_granted_at = p_now;
 	if (false)" request_flow_test
-mutate "pool places" "a place is not given back on failure" $flow "r_actions.emplace_back(release_slot{ _stage, get_slot_outcome(_last_failure)" "if (false) r_actions.emplace_back(release_slot{ _stage, get_slot_outcome(_last_failure)" request_flow_test
+mutate "pool places" "a place is not given back on failure" $flow "r_actions.emplace_back(release_slot{ _stage, get_failed_slot_outcome(_last_failure)" "if (false) r_actions.emplace_back(release_slot{ _stage, get_failed_slot_outcome(_last_failure)" request_flow_test
 mutate "cancellation" "open attempts are left running at the end" $flow "r_actions.emplace_back(cancel_attempt{ attempt.id, attempt.settle_id, use });" "" request_flow_test
 mutate "leaving marks" "a list may bring an endpoint back" servers/routing/router.cpp "endpoint->leaving = p_listing.leaving || _is_marked_leaving(p_listing.vm, p_listing.incarnation);" "endpoint->leaving = p_listing.leaving;" routing_test
 mutate "ejection cap" "there is none" servers/routing/router.cpp "return static_cast<double>(ejected + 1) <= _settings.max_ejected_share * static_cast<double>(pool_size);" "return pool_size + ejected > 0;" routing_test
--- a/servers/configuration/configuration_fold.h
+++ b/servers/configuration/configuration_fold.h
@@ -59,8 +59,8 @@
 
 /**
  * Folds the configuration stream: applies its records in the order of their offsets. A change is accepted if it
- * parses, passes the checks and its base is the current version of the fold; the new version is the offset of the change
- * plus one. All inputs come from the log, so all nodes that are certain at a position have the same version there. The
+ * parses, passes the checks and its base is the version of the configuration after the preceding records; the new version is
+ * the offset of the change plus one. All inputs come from the log, so all nodes that are certain at a position have the same version there. The
  * version in force never decreases.
  *
  * A node is *certain* if it has read every record since the first, or continues from a checkpoint or a peer's snapshot
--- a/servers/gateway/endpoint_limits.cpp
+++ b/servers/gateway/endpoint_limits.cpp
@@ -193,7 +193,7 @@
 send_prospect endpoint_limits::predict(const std::vector<endpoint_identity> &p_endpoints, std::size_t p_before, instant p_now) {
 	send_prospect prospect;
 	std::vector<instant> free_at;
-	duration longest_span = duration::zero();
+	duration longest_limit_span = duration::zero();
 	for (const endpoint_identity &endpoint : p_endpoints) {
 		const duration backoff = _backoffs.get_left(endpoint, p_now);
 		if (backoff > duration::zero()) {
@@ -208,12 +208,12 @@
 		const auto get_rate = [](const rate_bound &p_bound) { return static_cast<double>(p_bound.slots) / to_seconds(p_bound.span); };
 		const auto tightest = std::min_element(bounds.begin(), bounds.end(), [&get_rate](const rate_bound &p_left, const rate_bound &p_right) { return get_rate(p_left) < get_rate(p_right); });
 		_add_free_slots(endpoint, *tightest, p_before + 1, p_now, free_at);
-		longest_span = std::max(longest_span, tightest->span);
+		longest_limit_span = std::max(longest_limit_span, tightest->span);
 	}
 	if (!free_at.empty()) {
 		const auto next = free_at.begin() + static_cast<std::ptrdiff_t>(p_before % free_at.size());
 		std::nth_element(free_at.begin(), next, free_at.end());
-		prospect.wait = *next - p_now + longest_span * static_cast<duration::rep>(p_before / free_at.size());
+		prospect.wait = *next - p_now + longest_limit_span * static_cast<duration::rep>(p_before / free_at.size());
 	}
 	return prospect;
 }
--- a/servers/membership/peer_contacts.cpp
+++ b/servers/membership/peer_contacts.cpp
@@ -43,11 +43,11 @@
 	return p_contact.next_in * MAX_MISSED_HEARTBEATS + HEARTBEAT_DELAY;
 }
 
-void peer_contacts::on_contact(const std::string &p_peer, duration p_next_in, instant p_now) {
+void peer_contacts::on_contact(const std::string &p_peer, duration p_next_heartbeat_in, instant p_now) {
 	contact &entry = _contacts[p_peer];
 	entry.last_contact_at = p_now;
 	// A node of an older version, which reports no interval, sends at the short one. The value is bounded, as it determines when the peer counts as failed.
-	entry.next_in = std::clamp(p_next_in, HEARTBEAT_INTERVAL, SLOW_HEARTBEAT_INTERVAL);
+	entry.next_in = std::clamp(p_next_heartbeat_in, HEARTBEAT_INTERVAL, SLOW_HEARTBEAT_INTERVAL);
 }
 
 bool peer_contacts::is_responsive(const std::string &p_peer, instant p_now) const {
--- a/servers/membership/peer_contacts.h
+++ b/servers/membership/peer_contacts.h
@@ -60,8 +60,8 @@
 	/** Interval of heartbeats to a peer. @param p_at_short_interval whether one of the two nodes dispatches pools. */
 	static duration get_interval(bool p_at_short_interval);
 
-	/** A heartbeat was received. @param p_next_in time until the next one as reported by the peer; zero when it reported none. */
-	void on_contact(const std::string &p_peer, duration p_next_in, instant p_now);
+	/** A heartbeat was received. @param p_next_heartbeat_in time until the next one as reported by the peer; zero when it reported none. */
+	void on_contact(const std::string &p_peer, duration p_next_heartbeat_in, instant p_now);
 
 	/** Whether a peer is responsive: its last heartbeat is recent, given its interval. */
 	bool is_responsive(const std::string &p_peer, instant p_now) const;
--- a/servers/membership/store_coverage.cpp
+++ b/servers/membership/store_coverage.cpp
@@ -36,10 +36,10 @@
 	return best;
 }
 
-bool store_coverage::on_heartbeat(const std::string &p_peer, bool p_follows, duration p_next_in, std::uint64_t p_version) {
+bool store_coverage::on_heartbeat(const std::string &p_peer, bool p_follows, duration p_next_heartbeat_in, std::uint64_t p_version) {
 	peer_state &entry = _peers[p_peer];
 	const bool has_stopped = entry.follows && !p_follows;
-	entry = peer_state{ p_follows, p_next_in, p_version };
+	entry = peer_state{ p_follows, p_next_heartbeat_in, p_version };
 	return has_stopped;
 }
 
--- a/servers/membership/store_coverage.h
+++ b/servers/membership/store_coverage.h
@@ -42,7 +42,7 @@
 
 public:
 	/** A heartbeat of a peer was received. @return whether the peer has ceased to follow the store. */
-	bool on_heartbeat(const std::string &p_peer, bool p_follows, duration p_next_in, std::uint64_t p_version);
+	bool on_heartbeat(const std::string &p_peer, bool p_follows, duration p_next_heartbeat_in, std::uint64_t p_version);
 
 	/**
 	 * Whether a responsive peer follows the store and sends heartbeats often enough that its failure is noticed in time, and this node
--- a/servers/request/request_flow.cpp
+++ b/servers/request/request_flow.cpp
@@ -29,7 +29,7 @@
 constexpr double DEFAULT_TIME_FRACTION = 0.6;
 constexpr duration RETRY_AFTER_SHORT = std::chrono::milliseconds(100);
 
-slot_outcome get_slot_outcome(const outcome &p_result) {
+slot_outcome get_failed_slot_outcome(const outcome &p_result) {
 	return p_result.why == reason::REFUSED_BUSY ? slot_outcome::REFUSED : slot_outcome::FAILED;
 }
 
@@ -535,7 +535,7 @@
 void request_flow::_finish(const outcome &p_result, instant p_now, actions &r_actions) {
 	if (_holds_slot) {
 		_holds_slot = false;
-		r_actions.emplace_back(release_slot{ _stage, get_slot_outcome(_last_failure), p_now - _slot_granted_at, 1.0 });
+		r_actions.emplace_back(release_slot{ _stage, get_failed_slot_outcome(_last_failure), p_now - _slot_granted_at, 1.0 });
 	}
 	_phase = phase::FINISHED;
 	for (const known_cost &cost : _costs) {
--- a/servers/rollout/version_tally.cpp
+++ b/servers/rollout/version_tally.cpp
@@ -67,8 +67,8 @@
 		if (cell.group > TARGET_GROUPS) {
 			continue;
 		}
-		const bool is_separate = routes.contains(cell.route) || routes.size() < MAX_ROUTES;
-		const std::uint32_t route = is_separate ? cell.route : OTHER_ROUTES;
+		const bool is_counted_separately = routes.contains(cell.route) || routes.size() < MAX_ROUTES;
+		const std::uint32_t route = is_counted_separately ? cell.route : OTHER_ROUTES;
 		routes.insert(route);
 		counts &counted = _cells[{ route, cell.group }];
 		counted.answers = add_saturated(counted.answers, cell.answers);
