--- a/servers/configuration/change_publisher.h
+++ b/servers/configuration/change_publisher.h
@@ -65,7 +65,7 @@
 
 	void on_append_ended(append_result p_result, instant p_now);
 
-	/** Looks for the change in the fold's history; called after the fold has applied records. */
+	/** Looks for the change in p_fold's history; called after p_fold has applied records. */
 	void on_fold_moved(const configuration_fold &p_fold);
 
 	publish_result get_result() const { return _result; }
--- a/servers/configuration/configuration_fold.h
+++ b/servers/configuration/configuration_fold.h
@@ -58,7 +58,7 @@
 };
 
 /**
- * Folds the configuration stream: applies its records in the order of their offsets. A change is accepted if it
+ * Folds the configuration stream. Folding means applying its records in the order of their offsets. A change is accepted if it
  * parses, passes the checks and its base is the version of the configuration after the preceding records; the new version is
  * the offset of the change plus one. All inputs come from the log, so all nodes that are certain at a position have the same version there. The
  * version in force never decreases.
@@ -85,7 +85,7 @@
 	};
 
 	document_check _check;
-	version_state _folded; ///< Result of the fold; may differ from _in_force while uncertain.
+	version_state _folded; ///< Result of applying the records; may differ from _in_force while uncertain.
 	version_state _in_force;
 	std::unique_ptr<const configuration> _parsed; ///< Parsed document of _in_force.
 	std::uint64_t _position = 0; ///< Next offset to read.
--- a/servers/configuration/log_record.h
+++ b/servers/configuration/log_record.h
@@ -28,7 +28,7 @@
 	std::string document; ///< JSON text.
 };
 
-/** State of the fold, appended again so that it isn't removed by the log's retention. */
+/** Result of folding the records below a position (see configuration_fold), appended again so that it isn't removed by the log's retention. */
 struct checkpoint_record {
 	std::uint64_t version = 0;
 	std::uint64_t position = 0; ///< All records below this offset are applied.
--- a/servers/gateway/sender_slots.cpp
+++ b/servers/gateway/sender_slots.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-/** The second in which sends count, and some heartbeats, by which a node becomes known to the others of its zone. */
+/** The one-second window of the rate limit, plus the time of some heartbeats, by which a node becomes known to the others of its zone. */
 constexpr duration SLOT_ACTIVATION_DELAY = std::chrono::milliseconds(1500);
 /** Delay reported while this node has not received the list of nodes: it may receive it within this time. */
 constexpr duration SETTLE_DELAY = std::chrono::milliseconds(100);
