--- a/servers/membership/fleet_overlay.cpp
+++ b/servers/membership/fleet_overlay.cpp
@@ -18,8 +18,8 @@
 
 /**
  * Maximum number of hubs of all zones together. Each hub sends to each other hub five times a second: at an estimated 25 us per
- * message sent or received (reading a heartbeat alone takes 10 to 13 us), 24 hubs use 0.6% of a processor core each. In a fleet of
- * at most this size every node that isn't excluded by its size may be a hub.
+ * message sent or received (reading a heartbeat alone takes 10 to 13 us), 24 hubs use 0.6% of a processor core each. While no
+ * zone has more nodes than its equal share of this number, every node that isn't excluded by its size may be a hub.
  */
 constexpr std::size_t MAX_HUBS = 24;
 /** When one hub of a zone fails, the zone still has another. */
@@ -28,7 +28,11 @@
 constexpr duration FIRST_ATTEMPT_TIME = std::chrono::milliseconds(1000);
 /** Of the nodes that failed only the first in the order are retried, so that a partitioned zone costs few attempts per second. */
 constexpr std::size_t MAX_RETRIED = 3;
-/** Hubs and dispatchers work for other nodes. A node whose cores are below this share of the largest node's doesn't become one. Only the choice of hubs falls back to smaller nodes, when no larger node is responsive. */
+/**
+ * Hubs and dispatchers work for other nodes. A node whose cores are below this share of the largest node's doesn't become one. For
+ * hubs, the largest node of the zone counts also when it is unresponsive; smaller nodes become hubs while no larger one of the zone
+ * is responsive. select_large_nodes() has no such fallback: its caller passes only responsive nodes when it chooses dispatchers.
+ */
 constexpr double MIN_SHARE_OF_LARGEST = 0.6;
 
 double get_max_cores(const std::vector<const overlay_node *> &p_nodes) {
