--- a/servers/configuration/configuration_fold.h
+++ b/servers/configuration/configuration_fold.h
@@ -28,7 +28,7 @@
 /** Result of a change. */
 enum class change_status {
 	ACCEPTED,
-	OVERTAKEN, ///< Its base wasn't the current version of the fold.
+	OVERTAKEN, ///< Its base wasn't the version of the configuration after the preceding records.
 	INVALID, ///< Malformed, oversized or failing the checks.
 	UNDECIDED, ///< Read while the preceding versions were unknown to this node.
 };
@@ -44,7 +44,7 @@
 	std::string author;
 	unix_milliseconds written_at = 0;
 	std::uint64_t base = 0;
-	std::uint64_t version_after = 0; ///< Version of the fold after this record.
+	std::uint64_t version_after = 0; ///< Version of the configuration after this record.
 	std::string detail; ///< For INVALID: every mistake, with its position in the document.
 };
 
@@ -52,15 +52,15 @@
 struct configuration_snapshot {
 	std::uint64_t version = 0;
 	std::uint64_t position = 0; ///< All records below this log offset are applied; valid only if certain.
-	bool certain = false; ///< Whether the version is the result of the fold up to the position.
+	bool certain = false; ///< Whether the version results from applying all records below the position in order.
 	std::string change_id;
 	std::string document;
 };
 
 /**
- * Folds the configuration stream: applies its records in the order of their offsets. A change is accepted if it
- * parses, passes the checks and its base is the current version of the fold; the new version is the offset of the change
- * plus one. All inputs come from the log, so all nodes that are certain at a position have the same version there. The
+ * Folds the configuration stream. Folding means applying its records in the order of their offsets. A change is accepted if it
+ * parses, passes the checks and its base is the version of the configuration after the preceding records; the new version is
+ * the offset of the change plus one. All inputs come from the log, so all nodes that are certain at a position have the same version there. The
  * version in force never decreases.
  *
  * A node is *certain* if it has read every record since the first, or continues from a checkpoint or a peer's snapshot
@@ -85,7 +85,7 @@
 	};
 
 	document_check _check;
-	version_state _folded; ///< Result of the fold; may differ from _in_force while uncertain.
+	version_state _folded; ///< Result of applying the records; may differ from _in_force while uncertain.
 	version_state _in_force;
 	std::unique_ptr<const configuration> _parsed; ///< Parsed document of _in_force.
 	std::uint64_t _position = 0; ///< Next offset to read.
