--- a/tests/platform/endpoint_codec_test.cpp
+++ b/tests/platform/endpoint_codec_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: endpoint_codec_test.cpp
- * Entries of endpoints, those that other writers left included.
+ * Checks the parsing of endpoint entries, including malformed entries from other writers.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -22,7 +22,7 @@
 	return json{ { "service", "a" }, { "address", "1.2.3.4:5" }, { "zone", "z" }, { "version", "v1" }, { "slots", 4 }, { "state", "ready" }, { "cold_left_ms", 0 }, { "seq_no", 1 }, { "born", 1785000000123 } };
 }
 
-/** Fault of an entry; empty when it names an endpoint. */
+/** Returns the fault of an entry, or nothing when the entry is a valid endpoint listing. */
 std::optional<entry_fault> find_fault(std::string_view p_text, std::string_view p_id = "i-1") {
 	const parsed_entry entry = parse_endpoint_entry(p_id, p_text);
 	const entry_fault *fault = std::get_if<entry_fault>(&entry);
