--- a/tests/platform/platform_codec_test.cpp
+++ b/tests/platform/platform_codec_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: platform_codec_test.cpp
- * What is read from and written to the platform, malformed and hostile input included.
+ * Checks the codecs for requests, configurations and stage calls, including malformed and hostile input.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
