--- a/tests/platform/rollout_codec_test.cpp
+++ b/tests/platform/rollout_codec_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: rollout_codec_test.cpp
- * Records of roll-outs' states.
+ * Checks the records in which the state of a roll-out is stored.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -28,7 +28,7 @@
 
 } // namespace
 
-// Guards the order's time across a restart of the whole fleet.
+// Guards against losing the age of a roll-out order when all nodes restart: the age must include the time in which no node ran.
 TEST(rollout_codec, the_age_of_an_order_goes_on_while_nobody_runs) {
 	const rollout_status written{ "llm", "v2", rollout_state::IN_PROGRESS, log_position{ 1, 5 }, seconds(7) };
 	const std::optional<rollout_status> read = find(write_rollout_status(written, WALL), WALL + 30000);
@@ -43,7 +43,8 @@
 	EXPECT_EQ(find(write_rollout_status(written, WALL), WALL - 60000)->age, duration::zero());
 }
 
-// Guards records of earlier versions of the program, and those that something else wrote.
+// Records written by earlier versions of the program or by another writer may lack a readable time of day. Guards against
+// rejecting their state, or deriving an age from them.
 TEST(rollout_codec, a_state_without_a_readable_time_of_day_stands_and_tells_no_age) {
 	for (const char *field : { "", R"(,"learnt_at_ms":"soon")", R"(,"learnt_at_ms":-5)", R"(,"learnt_at_ms":0)", R"(,"learnt_at_ms":1.5)", R"(,"learnt_at_ms":null)", R"(,"learnt_at_ms":12)" }) {
 		const std::optional<rollout_status> read = find(make_text(field));
