--- a/tests/platform/store_codec_test.cpp
+++ b/tests/platform/store_codec_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: store_codec_test.cpp
- * Answers of the store, with records of any writer.
+ * Checks the parsing of the store's answers, including malformed records from other writers.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,7 +18,7 @@
 
 namespace {
 
-/** "YWJj" is "abc" in base64. */
+/** A page of two records; "YWJj" is "abc" in base64. */
 const std::string PAGE = R"({"items":[{"private_key":"i-1","value":"YWJj","offset":4},{"private_key":"i-2","value":"YQ==","offset":5}],"has_more":true,"end_offset":6})";
 
 std::string write_log(const std::vector<std::string> &p_records) {
