--- a/tests/drivers/caller_server_fixture.h
+++ b/tests/drivers/caller_server_fixture.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: caller_server_fixture.h
- * A server for callers on a real socket, whose handler is the test's.
+ * Test fixture: a caller server on a real socket.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -20,7 +20,7 @@
 
 namespace calicoscale {
 
-/** A server for callers whose handler is the test's. */
+/** Runs a caller server that collects its exchanges; the test answers them. */
 class caller_server_test : public ::testing::Test {
 protected:
 	event_loop _loop;
@@ -36,7 +36,7 @@
 		_server = std::make_unique<caller_server>(_loop, network_address{ "127.0.0.1", 0 }, limits, [this](const std::shared_ptr<caller_exchange> &p_exchange) { _exchanges.push_back(p_exchange); });
 	}
 
-	/** Runs the loop until the condition holds; fails after a long time. */
+	/** Runs the loop and polls the connection until the condition holds; fails after 20 s. */
 	void run_until(raw_connection &r_connection, const std::function<bool()> &p_condition) {
 		const instant give_up = event_loop::now() + std::chrono::seconds(20);
 		while (!p_condition()) {
