--- a/tests/drivers/event_log_test.cpp
+++ b/tests/drivers/event_log_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: event_log_test.cpp
- * The log is bounded and never waits for its reader.
+ * Checks that the event log is bounded and never blocks on a slow reader.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -19,7 +19,7 @@
 
 namespace {
 
-/** Puts a pipe in the place of standard output; what was there is back afterwards. */
+/** Replaces standard output with a pipe for the duration of a test. */
 class event_log_test : public ::testing::Test {
 protected:
 	event_loop _loop;
@@ -33,7 +33,7 @@
 		fcntl(_pipe[0], F_SETFL, O_NONBLOCK);
 	}
 
-	/** Call it before expectations, whose messages go to standard output as well. */
+	/** Restores standard output. Must be called before expectations, as their messages go to standard output as well. */
 	void restore_output() { dup2(_kept_output, STDOUT_FILENO); }
 
 	void TearDown() override {
