--- a/tests/drivers/event_loop_test.cpp
+++ b/tests/drivers/event_loop_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: event_loop_test.cpp
- * Timers and beliefs when the process stands still or its VM is suspended.
+ * Checks timers and the detection of stalls when the process is paused or its VM is suspended.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -33,7 +33,7 @@
 	return instant(std::chrono::duration_cast<duration>(seconds(time.tv_sec) + std::chrono::nanoseconds(time.tv_nsec)));
 }
 
-/** The clocks of a VM that was suspended for some time. */
+/** Reads the clocks as on a VM that was suspended for the time in `suspended`. */
 clock_reading read_clocks() {
 	return clock_reading{ read_clock(CLOCK_MONOTONIC) + suspended, read_clock(CLOCK_MONOTONIC) };
 }
@@ -49,7 +49,7 @@
 
 	void TearDown() override { event_loop::set_clock_reader(nullptr); }
 
-	/** Runs the loop for some time of the steady clock. */
+	/** Runs the loop for a time measured by the steady clock. */
 	void run_for(duration p_time) {
 		const instant until = read_clock(CLOCK_MONOTONIC) + p_time;
 		while (read_clock(CLOCK_MONOTONIC) < until) {
@@ -61,7 +61,8 @@
 
 } // namespace
 
-// Guards objects that are freed from the loop against the end of their owners, which comes before that of the loop.
+// Guards against posted callbacks that never run when the loop stops. Objects are freed by such callbacks, and their owners
+// are destroyed before the loop.
 TEST_F(event_loop_test, what_is_posted_in_the_turn_that_stops_the_loop_runs_before_it_returns) {
 	bool has_run = false;
 	timer stop(_loop, [this, &has_run] {
@@ -117,7 +118,7 @@
 	timer first_turn(_loop, [] {});
 	first_turn.set(milliseconds(1));
 	run_for(milliseconds(5));
-	// Set behind the first turns, as these may take longer on a busy machine than the timers wait.
+	// The timers are set after the first turns, which may take longer on a busy machine than the timers' delays.
 	deadline.set(milliseconds(50));
 	silence.set(milliseconds(40));
 	std::this_thread::sleep_for(milliseconds(300));
