--- a/tests/drivers/http_exchange_test.cpp
+++ b/tests/drivers/http_exchange_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: http_exchange_test.cpp
- * The HTTP reader, the server for callers and the channels to endpoints, on real sockets and against bad peers.
+ * Checks the HTTP reader, the caller server and the endpoint channels on real sockets, including misbehaving peers.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -138,7 +138,8 @@
 	EXPECT_TRUE(connection.get_received().ends_with("\r\n\r\nwhole"));
 }
 
-// Guards a caller without chunks against a node that ends in the middle of its answer: the orderly close of its sockets looked like the end.
+// Guards against a truncated answer that looks complete. Without chunked encoding the close of the connection marks the end
+// of the answer, so a node that exits in the middle of an answer must reset the connection instead of closing it in order.
 TEST_F(caller_server_test, an_answer_that_ends_with_its_connection_is_reset_when_the_server_goes) {
 	raw_connection connection(_server->get_address());
 	connection.send_bytes("GET /1 HTTP/1.0\r\nHost: h\r\n\r\n");
@@ -164,7 +165,8 @@
 	EXPECT_EQ(_server->get_open_requests(), 0U);
 }
 
-// Guards the memory of a server that ends in the turn in which one of its connections was closed.
+// Guards against a use after free: a server may be destroyed in the same loop turn in which one of its connections closes,
+// and the connection is freed after the server.
 TEST_F(caller_server_test, a_connection_that_is_freed_after_its_server_does_not_touch_it) {
 	std::optional<raw_connection> connection(_server->get_address());
 	connection->send_bytes("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -205,7 +207,7 @@
 
 namespace {
 
-/** Channels to an endpoint that answers with bytes the test chooses. */
+/** Runs channels to an endpoint that answers with bytes chosen by the test. */
 class endpoint_channels_test : public ::testing::Test {
 protected:
 	event_loop _loop;
@@ -263,7 +265,7 @@
 
 TEST_F(endpoint_channels_test, a_kept_connection_whose_end_waits_in_the_socket_is_not_used) {
 	EXPECT_EQ(run(WHOLE, raw_server::after::KEEP)->end, channel_end::COMPLETE);
-	// The loop does not turn between the endpoint's close and the next request.
+	// The loop does not run between the endpoint's close and the next request.
 	_endpoint.close_connections();
 	const std::shared_ptr<outcome_of_exchange> next = run(WHOLE, raw_server::after::KEEP);
 	EXPECT_EQ(next->end, channel_end::COMPLETE) << "a request that may run once would count as one that may have run";
