--- a/tests/drivers/link_test.cpp
+++ b/tests/drivers/link_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: link_test.cpp
- * Links between nodes: proof, garbage, sizes, and the codec.
+ * Checks links between nodes: authentication, malformed input, message sizes and the codec.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -281,7 +281,7 @@
 	node_link second(loop, any_address(), link_identity{ "b", 1, "key" });
 	first.dial("b", second.get_address());
 	run_until(loop, [&first] { return first.is_linked("b"); });
-	// The loop does not turn, as if the peer read nothing: what is unsent grows to its bound.
+	// The loop does not run, as if the peer read nothing, so the unsent bytes grow to their limit.
 	release_results_message large;
 	large.pool = "pool";
 	large.handles = { std::string(500'000, 'x') };
@@ -296,7 +296,7 @@
 TEST(node_link, what_is_sent_goes_over_the_link_that_is_read_from_and_not_one_that_fell_silent) {
 	event_loop loop;
 	node_link left(loop, any_address(), link_identity{ "left", 1, "key" });
-	// Both are the same peer: the earlier one stands for the far end of a connection that carries nothing more.
+	// Both links represent the same peer; the earlier one is the remote end of a connection that no longer carries messages.
 	node_link silent(loop, any_address(), link_identity{ "right", 2, "key" });
 	node_link right(loop, any_address(), link_identity{ "right", 2, "key" });
 	int at_silent = 0;
