--- a/tests/drivers/rollout_wire_test.cpp
+++ b/tests/drivers/rollout_wire_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: rollout_wire_test.cpp
- * What nodes tell each other of roll-outs, written and read again.
+ * Checks that roll-out updates between nodes are unchanged after being written and read.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -22,7 +22,8 @@
 
 } // namespace
 
-// Guards what a node that starts takes from others: the order's age, and the answers of windows that are closed.
+// A node that starts receives the age of an order and the answer counts of closed windows from other nodes. Guards against
+// losing them in the message.
 TEST(rollout_wire, ages_and_windows_come_through) {
 	rollout_update told;
 	told.order = rollout_order{ "llm", "v2", std::chrono::seconds(40), log_position{ 1, 5 }, false };
