--- a/tests/drivers/slow_reader_test.cpp
+++ b/tests/drivers/slow_reader_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: slow_reader_test.cpp
- * Callers that take their answers slowly or not at all.
+ * Checks the handling of callers that read their answers slowly or not at all.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -20,10 +20,10 @@
 constexpr std::size_t ANSWER_BYTES = 24UL * 1024 * 1024;
 constexpr std::size_t BUDGET = 2UL * 1024 * 1024;
 
-/** Passes the answers of an endpoint that sends as fast as it is read on to callers. */
+/** Forwards answers to callers from an endpoint that sends as fast as its answers are read. */
 class slow_reader_test : public ::testing::Test {
 protected:
-	/** One answer on its way out of the endpoint. */
+	/** An answer that the endpoint is sending. */
 	struct source {
 		std::shared_ptr<caller_exchange> exchange;
 		std::size_t left = ANSWER_BYTES;
