--- a/tests/drivers/event_log_test.cpp
+++ b/tests/drivers/event_log_test.cpp
@@ -24,21 +24,21 @@
 protected:
 	event_loop _loop;
 	std::array<int, 2> _pipe{ -1, -1 };
-	int _kept_output = -1;
+	int _original_output = -1;
 
 	void SetUp() override {
 		ASSERT_EQ(pipe(_pipe.data()), 0);
-		_kept_output = dup(STDOUT_FILENO);
+		_original_output = dup(STDOUT_FILENO);
 		ASSERT_GE(dup2(_pipe[1], STDOUT_FILENO), 0);
 		fcntl(_pipe[0], F_SETFL, O_NONBLOCK);
 	}
 
 	/** Restores standard output. Must be called before expectations, as their messages go to standard output as well. */
-	void restore_output() { dup2(_kept_output, STDOUT_FILENO); }
+	void restore_output() { dup2(_original_output, STDOUT_FILENO); }
 
 	void TearDown() override {
 		restore_output();
-		close(_kept_output);
+		close(_original_output);
 		close(_pipe[0]);
 		close(_pipe[1]);
 	}
