--- a/tests/drivers/event_loop_test.cpp
+++ b/tests/drivers/event_loop_test.cpp
@@ -92,21 +92,21 @@
 }
 
 TEST_F(event_loop_test, a_suspension_and_a_pause_are_told_apart) {
-	std::vector<process_stall> told;
-	_loop.stalled().connect([&told](const process_stall &p_hold_up) { told.push_back(p_hold_up); });
+	std::vector<process_stall> stalls;
+	_loop.stalled().connect([&stalls](const process_stall &p_stall) { stalls.push_back(p_stall); });
 	timer tick(_loop, [&tick] { tick.set(milliseconds(10)); });
 	tick.set(milliseconds(10));
 	run_for(milliseconds(50));
-	EXPECT_TRUE(told.empty());
+	EXPECT_TRUE(stalls.empty());
 	suspended = seconds(2);
 	run_for(milliseconds(50));
-	ASSERT_EQ(told.size(), 1U);
-	EXPECT_EQ(told.back().cause, stall_cause::SUSPENSION);
-	EXPECT_GE(told.back().late, duration(milliseconds(1900)));
+	ASSERT_EQ(stalls.size(), 1U);
+	EXPECT_EQ(stalls.back().cause, stall_cause::SUSPENSION);
+	EXPECT_GE(stalls.back().late, duration(milliseconds(1900)));
 	std::this_thread::sleep_for(milliseconds(300));
 	run_for(milliseconds(50));
-	ASSERT_EQ(told.size(), 2U);
-	EXPECT_EQ(told.back().cause, stall_cause::PAUSE);
+	ASSERT_EQ(stalls.size(), 2U);
+	EXPECT_EQ(stalls.back().cause, stall_cause::PAUSE);
 }
 
 TEST_F(event_loop_test, after_a_hold_up_what_waits_is_read_before_silence_is_judged) {
