--- a/tests/drivers/http_exchange_test.cpp
+++ b/tests/drivers/http_exchange_test.cpp
@@ -21,19 +21,19 @@
 
 namespace {
 
-constexpr std::size_t MOST_HEADER_BYTES = 4096;
+constexpr std::size_t MAX_HEADER_BYTES = 4096;
 
 struct read_message {
 	http_head head;
 	std::string body;
 	http_reader::state state = http_reader::state::READING;
-	std::size_t taken = 0;
+	std::size_t consumed = 0;
 };
 
 read_message read(http_reader::kind p_kind, std::string_view p_bytes, bool p_close = false) {
 	read_message message;
-	http_reader reader(p_kind, http_reader::hooks{ [&message](const http_head &p_head) { message.head = p_head; }, [&message](std::string_view p_part) { message.body.append(p_part); } }, MOST_HEADER_BYTES);
-	message.taken = reader.feed(p_bytes);
+	http_reader reader(p_kind, http_reader::hooks{ [&message](const http_head &p_head) { message.head = p_head; }, [&message](std::string_view p_part) { message.body.append(p_part); } }, MAX_HEADER_BYTES);
+	message.consumed = reader.feed(p_bytes);
 	if (p_close) {
 		reader.finish_at_close();
 	}
@@ -47,7 +47,7 @@
 	const std::string first = "POST /a%2Fb//c?x=1;y HTTP/1.1\r\nHost: h\r\nB: 2\r\na: 1\r\nContent-Length: 3\r\n\r\nabc";
 	const read_message message = read(http_reader::kind::REQUEST, first + "GET / HTTP/1.1\r\n\r\n");
 	EXPECT_EQ(message.state, http_reader::state::COMPLETE);
-	EXPECT_EQ(message.taken, first.size());
+	EXPECT_EQ(message.consumed, first.size());
 	EXPECT_EQ(message.head.target, "/a%2Fb//c?x=1;y");
 	ASSERT_EQ(message.head.headers.size(), 4U);
 	EXPECT_EQ(message.head.headers[2].name, "a");
@@ -72,7 +72,7 @@
 		 }) {
 		EXPECT_EQ(read(http_reader::kind::REQUEST, hostile).state, http_reader::state::MALFORMED) << hostile;
 	}
-	const std::string large = "GET / HTTP/1.1\r\nX: " + std::string(MOST_HEADER_BYTES, 'x') + "\r\n\r\n";
+	const std::string large = "GET / HTTP/1.1\r\nX: " + std::string(MAX_HEADER_BYTES, 'x') + "\r\n\r\n";
 	EXPECT_EQ(read(http_reader::kind::REQUEST, large).state, http_reader::state::HEADERS_TOO_LARGE);
 }
 
@@ -88,7 +88,7 @@
 RC_GTEST_PROP(http_reader, reads_the_same_whatever_the_cuts, ()) {
 	const std::string text = "POST /x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n10\r\n0123456789abcdef\r\n0\r\n\r\n";
 	std::string body;
-	http_reader reader(http_reader::kind::REQUEST, http_reader::hooks{ [](const http_head &) {}, [&body](std::string_view p_part) { body.append(p_part); } }, MOST_HEADER_BYTES);
+	http_reader reader(http_reader::kind::REQUEST, http_reader::hooks{ [](const http_head &) {}, [&body](std::string_view p_part) { body.append(p_part); } }, MAX_HEADER_BYTES);
 	std::size_t place = 0;
 	while (place < text.size()) {
 		const std::size_t step = std::min<std::size_t>(text.size() - place, *rc::gen::inRange<std::size_t>(1, 20));
@@ -153,13 +153,13 @@
 }
 
 TEST_F(caller_server_test, tells_when_the_caller_goes) {
-	bool gone = false;
+	bool is_disconnected = false;
 	std::unique_ptr<raw_connection> connection = std::make_unique<raw_connection>(_server->get_address());
 	connection->send_bytes("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
 	run_until(*connection, [this] { return _exchanges.size() == 1; });
-	_exchanges[0]->set_on_disconnect([&gone] { gone = true; });
+	_exchanges[0]->set_on_disconnect([&is_disconnected] { is_disconnected = true; });
 	connection->close_sending();
-	run_until(*connection, [&gone] { return gone; });
+	run_until(*connection, [&is_disconnected] { return is_disconnected; });
 	_exchanges[0]->reply(200, {}, "goes nowhere");
 	EXPECT_TRUE(_exchanges[0]->is_gone());
 	EXPECT_EQ(_server->get_open_requests(), 0U);
@@ -215,16 +215,16 @@
 	endpoint_channels _channels{ _loop };
 	std::uint64_t _endpoint_start = 1;
 
-	struct outcome_of_exchange {
+	struct exchange_outcome {
 		int status = 0;
 		std::string body;
 		std::optional<channel_end> end;
 	};
 
-	std::shared_ptr<outcome_of_exchange> start(const std::string &p_echo = "r1") { return start(p_echo, _endpoint.get_address()); }
+	std::shared_ptr<exchange_outcome> start(const std::string &p_echo = "r1") { return start(p_echo, _endpoint.get_address()); }
 
-	std::shared_ptr<outcome_of_exchange> start(const std::string &p_echo, const network_address &p_to) {
-		const std::shared_ptr<outcome_of_exchange> result = std::make_shared<outcome_of_exchange>();
+	std::shared_ptr<exchange_outcome> start(const std::string &p_echo, const network_address &p_to) {
+		const std::shared_ptr<exchange_outcome> result = std::make_shared<exchange_outcome>();
 		channel_request request;
 		request.endpoint = endpoint_identity{ "e1", _endpoint_start };
 		request.to = p_to;
@@ -245,36 +245,36 @@
 		}
 	}
 
-	std::shared_ptr<outcome_of_exchange> run(const std::string &p_answer, raw_server::after p_after) {
+	std::shared_ptr<exchange_outcome> run(const std::string &p_answer, raw_server::after p_after) {
 		_endpoint.set_answer(p_answer, p_after);
-		const std::shared_ptr<outcome_of_exchange> result = start();
+		const std::shared_ptr<exchange_outcome> result = start();
 		run_until([&result] { return result->end.has_value(); });
 		return result;
 	}
 };
 
-const std::string WHOLE = "HTTP/1.1 200 OK\r\nEcho: r1\r\nContent-Length: 2\r\n\r\nok";
+const std::string COMPLETE_ANSWER = "HTTP/1.1 200 OK\r\nEcho: r1\r\nContent-Length: 2\r\n\r\nok";
 
 } // namespace
 
 TEST_F(endpoint_channels_test, keeps_a_connection_for_the_next_request) {
-	EXPECT_EQ(run(WHOLE, raw_server::after::KEEP)->end, channel_end::COMPLETE);
-	EXPECT_EQ(run(WHOLE, raw_server::after::KEEP)->body, "ok");
+	EXPECT_EQ(run(COMPLETE_ANSWER, raw_server::after::KEEP)->end, channel_end::COMPLETE);
+	EXPECT_EQ(run(COMPLETE_ANSWER, raw_server::after::KEEP)->body, "ok");
 	EXPECT_EQ(_channels.get_opened(), 1U);
 }
 
 TEST_F(endpoint_channels_test, a_kept_connection_whose_end_waits_in_the_socket_is_not_used) {
-	EXPECT_EQ(run(WHOLE, raw_server::after::KEEP)->end, channel_end::COMPLETE);
+	EXPECT_EQ(run(COMPLETE_ANSWER, raw_server::after::KEEP)->end, channel_end::COMPLETE);
 	// The loop does not run between the endpoint's close and the next request.
 	_endpoint.close_connections();
-	const std::shared_ptr<outcome_of_exchange> next = run(WHOLE, raw_server::after::KEEP);
+	const std::shared_ptr<exchange_outcome> next = run(COMPLETE_ANSWER, raw_server::after::KEEP);
 	EXPECT_EQ(next->end, channel_end::COMPLETE) << "a request that may run once would count as one that may have run";
 	EXPECT_EQ(_channels.get_opened(), 2U);
 }
 
 TEST_F(endpoint_channels_test, a_connection_that_came_up_while_the_loop_was_held_up_is_used) {
-	_endpoint.set_answer(WHOLE, raw_server::after::KEEP);
-	const std::shared_ptr<outcome_of_exchange> result = start();
+	_endpoint.set_answer(COMPLETE_ANSWER, raw_server::after::KEEP);
+	const std::shared_ptr<exchange_outcome> result = start();
 	std::this_thread::sleep_for(channel_request().connect_timeout + std::chrono::milliseconds(100));
 	run_until([&result] { return result->end.has_value(); });
 	EXPECT_EQ(result->end, channel_end::COMPLETE) << "the endpoint would be taken for unreachable";
@@ -282,30 +282,30 @@
 
 TEST_F(endpoint_channels_test, a_kept_connection_on_which_surplus_bytes_wait_in_the_socket_is_not_used) {
 	bare_endpoint endpoint;
-	const std::shared_ptr<outcome_of_exchange> first = start("r1", endpoint.get_address());
+	const std::shared_ptr<exchange_outcome> first = start("r1", endpoint.get_address());
 	run_until([&endpoint] { return endpoint.has_request(); });
-	endpoint.answer(WHOLE);
+	endpoint.answer(COMPLETE_ANSWER);
 	run_until([&first] { return first->end.has_value(); });
-	endpoint.answer(WHOLE);
-	const std::shared_ptr<outcome_of_exchange> second = start("r1", endpoint.get_address());
+	endpoint.answer(COMPLETE_ANSWER);
+	const std::shared_ptr<exchange_outcome> second = start("r1", endpoint.get_address());
 	EXPECT_EQ(_channels.get_opened(), 2U) << "the surplus would be taken for the answer to this request";
 	EXPECT_FALSE(second->end.has_value());
 }
 
 TEST_F(endpoint_channels_test, surplus_bytes_end_the_connection) {
-	EXPECT_EQ(run(WHOLE + WHOLE, raw_server::after::KEEP)->body, "ok");
-	EXPECT_EQ(run(WHOLE, raw_server::after::KEEP)->end, channel_end::COMPLETE);
+	EXPECT_EQ(run(COMPLETE_ANSWER + COMPLETE_ANSWER, raw_server::after::KEEP)->body, "ok");
+	EXPECT_EQ(run(COMPLETE_ANSWER, raw_server::after::KEEP)->end, channel_end::COMPLETE);
 	EXPECT_EQ(_channels.get_opened(), 2U);
 }
 
 TEST_F(endpoint_channels_test, a_late_answer_to_another_request_is_skipped) {
-	const std::shared_ptr<outcome_of_exchange> result = run("HTTP/1.1 200 OK\r\nEcho: other\r\nContent-Length: 5\r\n\r\nwrong" + WHOLE, raw_server::after::KEEP);
+	const std::shared_ptr<exchange_outcome> result = run("HTTP/1.1 200 OK\r\nEcho: other\r\nContent-Length: 5\r\n\r\nwrong" + COMPLETE_ANSWER, raw_server::after::KEEP);
 	EXPECT_EQ(result->body, "ok");
 	EXPECT_EQ(_channels.get_skipped_answers(), 1U);
 }
 
 TEST_F(endpoint_channels_test, interim_answers_are_not_the_answer) {
-	EXPECT_EQ(run("HTTP/1.1 100 Continue\r\n\r\n" + WHOLE, raw_server::after::KEEP)->status, 200);
+	EXPECT_EQ(run("HTTP/1.1 100 Continue\r\n\r\n" + COMPLETE_ANSWER, raw_server::after::KEEP)->status, 200);
 }
 
 TEST_F(endpoint_channels_test, what_is_cut_or_reset_is_broken_and_what_is_no_answer_malformed) {
@@ -318,20 +318,20 @@
 }
 
 TEST_F(endpoint_channels_test, nothing_is_kept_from_one_start_of_an_endpoint_to_the_next) {
-	EXPECT_EQ(run(WHOLE, raw_server::after::KEEP)->end, channel_end::COMPLETE);
+	EXPECT_EQ(run(COMPLETE_ANSWER, raw_server::after::KEEP)->end, channel_end::COMPLETE);
 	_endpoint_start++;
-	EXPECT_EQ(run(WHOLE, raw_server::after::KEEP)->body, "ok");
+	EXPECT_EQ(run(COMPLETE_ANSWER, raw_server::after::KEEP)->body, "ok");
 	EXPECT_EQ(_channels.get_opened(), 2U);
 }
 
 TEST_F(endpoint_channels_test, exchanges_with_a_replaced_start_end_as_broken_and_those_with_the_later_one_go_on) {
 	_endpoint.set_answer("", raw_server::after::KEEP);
-	const std::shared_ptr<outcome_of_exchange> earlier = start();
+	const std::shared_ptr<exchange_outcome> earlier = start();
 	const instant opened = event_loop::now();
 	run_until([opened] { return event_loop::now() - opened > std::chrono::milliseconds(2200); });
-	const std::shared_ptr<outcome_of_exchange> fresh = start();
+	const std::shared_ptr<exchange_outcome> fresh = start();
 	_endpoint_start++;
-	const std::shared_ptr<outcome_of_exchange> later = start();
+	const std::shared_ptr<exchange_outcome> later = start();
 	run_until([fresh, later, this] { return _channels.get_opened() == 3U; });
 	EXPECT_EQ(_channels.end_replaced({ "e1", 1 }, std::chrono::hours(1)), 0U) << "the later start is older than the connections";
 	EXPECT_EQ(_channels.end_replaced({ "e1", 1 }, std::chrono::milliseconds(-5000)), 1U) << "the time of day may have jumped";
@@ -342,7 +342,7 @@
 
 TEST_F(endpoint_channels_test, a_dead_port_fails_before_anything_is_sent) {
 	_endpoint.close();
-	const std::shared_ptr<outcome_of_exchange> result = start();
+	const std::shared_ptr<exchange_outcome> result = start();
 	run_until([&result] { return result->end.has_value(); });
 	EXPECT_EQ(result->end, channel_end::CONNECT_FAILED);
 }
