--- a/tests/drivers/link_test.cpp
+++ b/tests/drivers/link_test.cpp
@@ -22,10 +22,10 @@
 
 namespace {
 
-constexpr duration LONGEST_WAIT = std::chrono::seconds(20);
+constexpr duration MAX_WAIT = std::chrono::seconds(20);
 
 void run_until(event_loop &r_loop, const std::function<bool()> &p_condition) {
-	const instant give_up = event_loop::now() + LONGEST_WAIT;
+	const instant give_up = event_loop::now() + MAX_WAIT;
 	while (!p_condition()) {
 		ASSERT_LT(event_loop::now(), give_up);
 		timer stop(r_loop, [&r_loop] { r_loop.stop(); });
@@ -285,12 +285,12 @@
 	release_results_message large;
 	large.pool = "pool";
 	large.handles = { std::string(500'000, 'x') };
-	int taken = 0;
-	while (taken < 100 && first.send("b", large)) {
-		taken++;
+	int accepted = 0;
+	while (accepted < 100 && first.send("b", large)) {
+		accepted++;
 	}
-	EXPECT_GT(taken, 0);
-	EXPECT_LT(taken, 100) << "work that was handed over so would be waited for in vain";
+	EXPECT_GT(accepted, 0);
+	EXPECT_LT(accepted, 100) << "work that was handed over so would be waited for in vain";
 }
 
 TEST(node_link, what_is_sent_goes_over_the_link_that_is_read_from_and_not_one_that_fell_silent) {
@@ -307,14 +307,14 @@
 	run_until(loop, [&left] { return left.is_linked("right"); });
 	right.dial("left", left.get_address());
 	run_until(loop, [&right] { return right.is_linked("left"); });
-	int beats = 0;
-	timer beat(loop, [&right, &beat, &beats] {
+	int heartbeats = 0;
+	timer heartbeat_timer(loop, [&right, &heartbeat_timer, &heartbeats] {
 		right.send("left", make_heartbeat());
-		beats++;
-		beat.set(std::chrono::milliseconds(100));
+		heartbeats++;
+		heartbeat_timer.set(std::chrono::milliseconds(100));
 	});
-	beat.set(std::chrono::milliseconds(100));
-	run_until(loop, [&beats] { return beats == 20; });
+	heartbeat_timer.set(std::chrono::milliseconds(100));
+	run_until(loop, [&heartbeats] { return heartbeats == 20; });
 	EXPECT_TRUE(left.send("right", work_ended_message{ 1, 0, {} }));
 	run_until(loop, [&at_silent, &at_right] { return at_silent + at_right == 1; });
 	EXPECT_EQ(at_right, 1);
