--- a/tests/platform/configuration_reader_test.cpp
+++ b/tests/platform/configuration_reader_test.cpp
@@ -35,7 +35,7 @@
 }
 
 /** Parses the complete document at once; returns null when the parser rejects it. */
-std::shared_ptr<const gateway_configuration> parse_whole(const std::string &p_text) {
+std::shared_ptr<const gateway_configuration> parse_complete(const std::string &p_text) {
 	try {
 		return parse_gateway_configuration(p_text);
 	} catch (const document_error &) {
@@ -105,10 +105,10 @@
 	for (const std::string &text : texts) {
 		configuration_reader reader;
 		reader.take(make_document(1, { "a", "b" }).dump());
-		const std::shared_ptr<const gateway_configuration> whole = parse_whole(text);
-		EXPECT_EQ(is_refused(reader, text), whole == nullptr) << text;
-		if (whole) {
-			EXPECT_EQ(reader.get_current()->routes, whole->routes) << text;
+		const std::shared_ptr<const gateway_configuration> complete = parse_complete(text);
+		EXPECT_EQ(is_refused(reader, text), complete == nullptr) << text;
+		if (complete) {
+			EXPECT_EQ(reader.get_current()->routes, complete->routes) << text;
 		}
 	}
 }
@@ -128,10 +128,10 @@
 	}
 	configuration_reader reader;
 	reader.take(make_document(1, { "a", "b", "c" }).dump());
-	const std::shared_ptr<const gateway_configuration> whole = parse_whole(text);
-	RC_ASSERT(is_refused(reader, text) == (whole == nullptr));
-	if (whole && whole->version > 1) {
-		RC_ASSERT(reader.get_current()->routes == whole->routes);
+	const std::shared_ptr<const gateway_configuration> complete = parse_complete(text);
+	RC_ASSERT(is_refused(reader, text) == (complete == nullptr));
+	if (complete && complete->version > 1) {
+		RC_ASSERT(reader.get_current()->routes == complete->routes);
 	}
 }
 
