--- a/tests/platform/configuration_reader_test.cpp
+++ b/tests/platform/configuration_reader_test.cpp
@@ -1,6 +1,7 @@
 /*
  * calicoscale: configuration_reader_test.cpp
- * A version read by its parts is what the whole document says, and is refused whenever the whole is.
+ * Checks that reading a configuration route by route gives the same result as parsing the complete document, and that both
+ * reject the same texts.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -33,8 +34,8 @@
 	return document;
 }
 
-/** A text as the parser of whole documents reads it; null when it refuses it. */
-std::shared_ptr<const gateway_configuration> parse_whole(const std::string &p_text) {
+/** Parses the complete document at once; returns null when the parser rejects it. */
+std::shared_ptr<const gateway_configuration> parse_complete(const std::string &p_text) {
 	try {
 		return parse_gateway_configuration(p_text);
 	} catch (const document_error &) {
@@ -42,7 +43,7 @@
 	}
 }
 
-/** Whether a reader refuses a text. */
+/** Returns whether the reader rejects the text. */
 bool is_refused(configuration_reader &r_reader, const std::string &p_text) {
 	try {
 		r_reader.take(p_text);
@@ -90,7 +91,7 @@
 	const std::vector<std::string> texts{
 		R"({"routes":[)" + route + "," + std::string(1, '\0') + route + "]," + end, // The text ends at the NUL.
 		R"({"routes":[)" + route + std::string(1, '\0') + "}]," + end,
-		R"({"routes":[)" + route + R"(],"routes":[)" + route + "," + route + "]," + end, // The last one counts.
+		R"({"routes":[)" + route + R"(],"routes":[)" + route + "," + route + "]," + end, // Of duplicate keys, the last one applies.
 		R"({"routes":[)" + route + R"(],"rout\u0065s":[],)" + end,
 		R"({"routes":[)" + route + ",]," + end,
 		R"({"routes":[)" + route + "," + end,
@@ -104,10 +105,10 @@
 	for (const std::string &text : texts) {
 		configuration_reader reader;
 		reader.take(make_document(1, { "a", "b" }).dump());
-		const std::shared_ptr<const gateway_configuration> whole = parse_whole(text);
-		EXPECT_EQ(is_refused(reader, text), whole == nullptr) << text;
-		if (whole) {
-			EXPECT_EQ(reader.get_current()->routes, whole->routes) << text;
+		const std::shared_ptr<const gateway_configuration> complete = parse_complete(text);
+		EXPECT_EQ(is_refused(reader, text), complete == nullptr) << text;
+		if (complete) {
+			EXPECT_EQ(reader.get_current()->routes, complete->routes) << text;
 		}
 	}
 }
@@ -127,10 +128,10 @@
 	}
 	configuration_reader reader;
 	reader.take(make_document(1, { "a", "b", "c" }).dump());
-	const std::shared_ptr<const gateway_configuration> whole = parse_whole(text);
-	RC_ASSERT(is_refused(reader, text) == (whole == nullptr));
-	if (whole && whole->version > 1) {
-		RC_ASSERT(reader.get_current()->routes == whole->routes);
+	const std::shared_ptr<const gateway_configuration> complete = parse_complete(text);
+	RC_ASSERT(is_refused(reader, text) == (complete == nullptr));
+	if (complete && complete->version > 1) {
+		RC_ASSERT(reader.get_current()->routes == complete->routes);
 	}
 }
 
