--- a/main/load/answer_check.cpp
+++ b/main/load/answer_check.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: answer_check.cpp
- * Checks that an answer is whole and belongs to its request.
+ * Checks that an answer is complete and belongs to its request.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -38,8 +38,8 @@
 	std::string text = p_tokens.front();
 	for (std::size_t i = 1; i < p_tokens.size(); i++) {
 		const std::string &token = p_tokens[i];
-		const bool follows = token.size() > HASH_DIGITS && token.front() == TOKEN_START && token.compare(1, HASH_DIGITS, hash_text(text)) == 0;
-		if (!follows) {
+		const bool is_next = token.size() > HASH_DIGITS && token.front() == TOKEN_START && token.compare(1, HASH_DIGITS, hash_text(text)) == 0;
+		if (!is_next) {
 			return "token " + std::to_string(i) + " does not follow from the text before it";
 		}
 		text += token;
--- a/main/load/load_mix.h
+++ b/main/load/load_mix.h
@@ -17,7 +17,7 @@
 
 namespace calicoscale {
 
-/** A customer that sends. */
+/** A customer in whose name requests are sent. */
 struct mix_customer {
 	std::string name;
 	std::string key;
@@ -28,22 +28,21 @@
 struct mix_request {
 	std::string pipeline;
 	double weight = 1.0;
-	duration deadline = duration::zero(); ///< Zero leaves it to the pipeline.
+	duration deadline = duration::zero(); ///< Zero: none is sent, and the pipeline's default applies.
 	std::size_t input_bytes = 200;
 	std::size_t shared_prefix_bytes = 0; ///< Leading bytes that all requests of a customer share.
 	bool stream = false;
-	bool once = false; ///< Sent under an Idempotency-Key.
-	std::vector<std::string> customers; ///< Who sends it; empty for all.
+	bool once = false; ///< Sent with an Idempotency-Key header.
+	std::vector<std::string> customers; ///< Names of the customers that send it; empty for all.
 };
 
-/** Times of more load. */
+/** Periodic bursts: for the first `length` of each period `every`, the rate is multiplied by `factor`. */
 struct mix_burst {
 	duration every = duration::zero();
 	duration length = duration::zero();
 	double factor = 1.0;
 };
 
-/** A whole mix. */
 struct load_mix {
 	std::string name;
 	std::vector<mix_customer> customers;
@@ -51,7 +50,7 @@
 	std::optional<mix_burst> burst;
 };
 
-/** Parses a mix. @throws document_error with every mistake found. */
+/** Parses a mix. @throws document_error that lists every mistake found. */
 load_mix parse_mix(std::string_view p_text);
 
 } // namespace calicoscale
--- a/main/node_metrics.cpp
+++ b/main/node_metrics.cpp
@@ -33,16 +33,16 @@
 }
 
 void node_metrics::on_request(const std::string &p_pipeline, const outcome &p_result, duration p_elapsed) {
-	const std::string what(get_name(p_result.what));
-	const std::string why(get_name(p_result.why));
-	_requests.Add({ { "pipeline", p_pipeline }, { "verdict", what }, { "reason", why } }).Increment();
+	const std::string verdict_name(get_name(p_result.what));
+	const std::string reason_name(get_name(p_result.why));
+	_requests.Add({ { "pipeline", p_pipeline }, { "verdict", verdict_name }, { "reason", reason_name } }).Increment();
 	_request_seconds.Add({ { "pipeline", p_pipeline } }, get_buckets()).Observe(to_seconds(p_elapsed));
 }
 
 void node_metrics::on_attempt(const std::string &p_pool, const outcome &p_result) {
-	const std::string what(get_name(p_result.what));
-	const std::string why(get_name(p_result.why));
-	_attempts.Add({ { "pool", p_pool }, { "verdict", what }, { "reason", why } }).Increment();
+	const std::string verdict_name(get_name(p_result.what));
+	const std::string reason_name(get_name(p_result.why));
+	_attempts.Add({ { "pool", p_pool }, { "verdict", verdict_name }, { "reason", reason_name } }).Increment();
 }
 
 void node_metrics::on_stage(const std::string &p_pool, duration p_elapsed) {
--- a/main/node_metrics.h
+++ b/main/node_metrics.h
@@ -37,25 +37,28 @@
 public:
 	node_metrics();
 
-	/** A caller's request ended. */
+	/** Counts a caller's request that has terminated and records its duration. */
 	void on_request(const std::string &p_pipeline, const outcome &p_result, duration p_elapsed);
 
-	/** An attempt ended. */
+	/** Counts an attempt at an endpoint that has terminated. */
 	void on_attempt(const std::string &p_pool, const outcome &p_result);
 
-	/** A stage of a request was completed. */
+	/** Records the duration of a completed stage, queueing time included. */
 	void on_stage(const std::string &p_pool, duration p_elapsed);
 
-	/** Results of a pool were read by another pool or service; both zones are names of the platform's, and few. */
+	/**
+	 * Counts the bytes of a pool's results that another pool or service has read. Both zones are label values; the platform
+	 * assigns them and has only a few, which bounds the number of time series.
+	 */
 	void on_results_read(const std::string &p_from_pool, const std::string &p_to, const std::string &p_from_zone, const std::string &p_to_zone, double p_bytes);
 
-	/** Counts something that happened, by name. */
+	/** Adds `p_number` to the counter of the named event; numbers that aren't positive are ignored. */
 	void count(const std::string &p_event, double p_number = 1.0);
 
-	/** Sets a gauge, by name. */
+	/** Sets the gauge with this name. */
 	void set_gauge(const std::string &p_name, double p_value);
 
-	/** Text form for scrapers. */
+	/** Returns all metrics in the Prometheus text format. */
 	std::string write() const;
 };
 
--- a/main/process_signals.h
+++ b/main/process_signals.h
@@ -15,16 +15,16 @@
 
 namespace calicoscale {
 
-/** What a node does at a signal; runs on the event loop. */
+/** Callbacks of a node for signals; they run on the event loop. */
 struct process_signal_hooks {
 	std::function<void()> stop; ///< SIGTERM and SIGINT.
-	std::function<void()> reload; ///< SIGHUP. Once for all that came before it runs.
+	std::function<void()> reload; ///< SIGHUP; called once for all SIGHUPs received before it runs.
 };
 
 /**
- * Takes SIGTERM, SIGINT and SIGHUP for a node. A signal that meets no handler ends the process, so SIGHUP is blocked from
- * before the libraries are initialised until this is made, and all three from its end until the process is gone. To be made
- * after the node and destroyed before it.
+ * Handles SIGTERM, SIGINT and SIGHUP for a node. A signal without a handler terminates the process. SIGHUP is therefore
+ * blocked from before the libraries are initialised until this object is constructed, and all three signals are blocked from
+ * its destruction until the process exits. Must be constructed after the node and destroyed before it.
  */
 class process_signals {
 	event_loop &_loop;
@@ -34,7 +34,7 @@
 	void _on_signal(int p_signal);
 
 public:
-	/** Lets the signals through; a SIGHUP that came before is delivered now. */
+	/** Installs the handlers and unblocks SIGHUP; a SIGHUP received earlier is delivered now. */
 	process_signals(event_loop &p_loop, process_signal_hooks p_hooks);
 	~process_signals();
 	process_signals(const process_signals &) = delete;
--- a/main/program.cpp
+++ b/main/program.cpp
@@ -19,14 +19,14 @@
 
 namespace {
 
-struct command_row {
+struct command_entry {
 	std::string_view name;
 	std::string_view summary;
 	std::function<exit_code(const arguments &)> run;
 };
 
-const std::array<command_row, 10> &get_commands() {
-	static const std::array<command_row, 10> commands{ {
+const std::array<command_entry, 10> &get_commands() {
+	static const std::array<command_entry, 10> commands{ {
 			{ "serve", "--settings FILE            run an entry node", run_serve },
 			{ "gateway", "--settings FILE            run an entry node on a platform with a keyed store", run_gateway },
 			{ "check", "FILE                       check settings or a configuration", run_check },
@@ -43,7 +43,7 @@
 
 void print_help() {
 	std::cout << "calicoscale " << CALICOSCALE_VERSION << ": serves multi-stage model pipelines\n\n";
-	for (const command_row &command : get_commands()) {
+	for (const command_entry &command : get_commands()) {
 		std::cout << "  calicoscale " << command.name << " " << command.summary << "\n";
 	}
 	std::cout << "\n  calicoscale COMMAND --help   options of a command\n  calicoscale --version\n";
@@ -61,7 +61,7 @@
 		std::cout << "calicoscale " << CALICOSCALE_VERSION << "\n";
 		return exit_code::SUCCESS;
 	}
-	for (const command_row &command : get_commands()) {
+	for (const command_entry &command : get_commands()) {
 		if (command.name != p_arguments.front()) {
 			continue;
 		}
