--- a/main/commands/command_client.cpp
+++ b/main/commands/command_client.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: command_client.cpp
- * Calls of operator commands to nodes, one at a time, with a time-out.
+ * Blocking HTTP calls of operator commands to nodes, with a time-out.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -27,18 +27,18 @@
 		call.headers.push_back(http_header{ "Authorization", "Bearer " + _key });
 	}
 	http_result result;
-	bool has_ended = false;
+	bool has_terminated = false;
 	http_hooks hooks;
-	hooks.on_end = [this, &result, &has_ended](const http_result &p_result) {
+	hooks.on_end = [this, &result, &has_terminated](const http_result &p_result) {
 		result = p_result;
-		has_ended = true;
+		has_terminated = true;
 		_loop.stop();
 	};
 	timer give_up(_loop, [this] { _loop.stop(); });
 	give_up.set(_timeout);
 	const call_id id = _client.start(call, std::move(hooks));
 	_loop.run();
-	if (!has_ended) {
+	if (!has_terminated) {
 		_client.cancel(id);
 		throw command_error(to_string(p_to) + " did not answer in time");
 	}
--- a/main/commands/command_client.h
+++ b/main/commands/command_client.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: command_client.h
- * Calls of operator commands to nodes, one at a time, with a time-out.
+ * Blocking HTTP calls of operator commands to nodes, with a time-out.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -15,13 +15,13 @@
 
 namespace calicoscale {
 
-/** Thrown when a node does not answer. */
+/** Thrown when a node can't be reached or doesn't answer. */
 class command_error : public std::runtime_error {
 public:
 	using std::runtime_error::runtime_error;
 };
 
-/** Makes blocking calls on a loop of its own. */
+/** Makes blocking calls, one at a time, on its own event loop. */
 class command_client {
 	event_loop _loop;
 	http_client _client;
@@ -29,12 +29,12 @@
 	duration _timeout;
 
 public:
-	/** @param p_key admin key; empty for none. */
+	/** @param p_key admin key; empty for none. @param p_timeout time limit of each call. */
 	command_client(std::string p_key, duration p_timeout);
 
 	/**
-	 * Calls and waits.
-	 * @throws command_error when there is no whole answer in time.
+	 * Sends a request and waits for the answer, whatever its status.
+	 * @throws command_error if the connection fails or no complete answer arrives in time.
 	 */
 	http_result call(const network_address &p_to, bool p_is_post, const std::string &p_path, const std::string &p_body = "");
 };
--- a/main/commands/command_options.h
+++ b/main/commands/command_options.h
@@ -30,23 +30,24 @@
 void add_node_options(boost::program_options::options_description &r_options);
 
 /**
- * Parses arguments; prints help and returns false when it was asked for.
- * @throws usage_error for wrong ones.
+ * Parses arguments. Prints the help and returns false if --help is among them.
+ * @throws usage_error for wrong arguments.
  */
 bool parse_options(const arguments &p_arguments, const boost::program_options::options_description &p_options, const boost::program_options::positional_options_description &p_positional, boost::program_options::variables_map &r_values);
 
-/** Address given by --node. @throws usage_error when it is malformed. */
+/** Returns the address given by --node. @throws usage_error when it is malformed. */
 network_address get_node(const boost::program_options::variables_map &p_values);
 
-/** Client made from --key and --timeout. */
+/** Returns a client that uses --key and --timeout. */
 command_client make_client(const boost::program_options::variables_map &p_values);
 
-/** Reads a whole file, "-" for standard input. @throws usage_error when it cannot be read. */
+/** Returns the contents of a file, or of standard input for "-". @throws usage_error if the file can't be opened. */
 std::string read_file(const std::string &p_path);
 
 /**
- * Reads a node's settings again for its log. Addresses and names hold for a process's life, so a change of them waits for a
- * restart. The parser throws for settings that are not sound.
+ * Reads and checks a node's settings file again and returns the outcome as a text for the log. Nothing is applied: addresses and
+ * names are fixed for the lifetime of a process, so changed settings take effect at the next start. `p_parse` throws if the
+ * settings are invalid.
  */
 std::string describe_reload(const std::string &p_path, const std::function<void(const std::string &)> &p_parse);
 
--- a/main/commands/commands.h
+++ b/main/commands/commands.h
@@ -17,12 +17,12 @@
 /** Exit codes of all commands, as documented in docs/OPERATIONS.md. */
 enum class exit_code {
 	SUCCESS = 0,
-	FAILURE = 1, ///< The command ran and its result is bad, e.g. a change was overtaken.
-	USAGE = 2, ///< Wrong arguments, settings or documents; nothing was done.
+	FAILURE = 1, ///< The command ran, but its outcome is a failure, e.g. a newer version overtook the published change.
+	USAGE = 2, ///< Invalid arguments, settings or documents; nothing was changed.
 	UNREACHABLE = 3, ///< A node did not answer.
 };
 
-/** One command's arguments, its name left out. */
+/** Arguments of a command, without its name. */
 using arguments = std::vector<std::string>;
 
 exit_code run_serve(const arguments &p_arguments);
@@ -36,7 +36,7 @@
 exit_code run_explain(const arguments &p_arguments);
 exit_code run_load(const arguments &p_arguments);
 
-/** Runs the command that the arguments name. */
+/** Runs the command named by the first argument and converts its exceptions to exit codes. */
 exit_code run_program(const arguments &p_arguments);
 
 } // namespace calicoscale
--- a/main/commands/config_command.cpp
+++ b/main/commands/config_command.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: config_command.cpp
- * config publish, show and history.
+ * Commands config publish, config show and config history.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -24,9 +24,10 @@
 using json = nlohmann::json;
 
 constexpr std::chrono::milliseconds STATUS_INTERVAL(100);
-constexpr duration PATIENCE_WITH_SUSPECTS = std::chrono::seconds(5);
+/** How long to wait for unreachable nodes in state "suspect", which may only be late to respond. */
+constexpr duration MAX_WAIT_FOR_SUSPECTS = std::chrono::seconds(5);
 
-std::string escape(const std::string &p_text) {
+std::string percent_encode(const std::string &p_text) {
 	constexpr std::string_view DIGITS = "0123456789ABCDEF";
 	std::string escaped;
 	for (const char letter : p_text) {
@@ -42,14 +43,14 @@
 	return escaped;
 }
 
-/** Nodes that lack a version, told apart by whether they can be waited for. */
+/** Nodes at which a configuration version isn't in force yet. Only reachable ones are waited for until the time-out. */
 struct nodes_behind {
 	std::vector<std::string> reachable;
 	std::vector<std::string> unreachable;
-	bool has_suspects = false; ///< Some unreachable ones may only be slow to be heard of.
+	bool has_suspects = false; ///< Some unreachable nodes are only suspects, which may merely be late to respond.
 };
 
-nodes_behind find_behind(const json &p_status, std::uint64_t p_version) {
+nodes_behind find_nodes_behind(const json &p_status, std::uint64_t p_version) {
 	nodes_behind behind;
 	if (p_status.at("configuration").at("version").get<std::uint64_t>() < p_version) {
 		behind.reachable.push_back(p_status.at("vm").get<std::string>());
@@ -67,13 +68,13 @@
 	return behind;
 }
 
-exit_code wait_everywhere(command_client &r_client, const options::variables_map &p_values, std::uint64_t p_version) {
+exit_code wait_until_in_force(command_client &r_client, const options::variables_map &p_values, std::uint64_t p_version) {
 	const instant give_up = event_loop::now() + from_seconds(p_values["timeout"].as<double>());
-	const instant suspects_until = std::min(give_up, event_loop::now() + PATIENCE_WITH_SUSPECTS);
+	const instant suspects_until = std::min(give_up, event_loop::now() + MAX_WAIT_FOR_SUSPECTS);
 	nodes_behind behind;
 	do {
 		const http_result status = r_client.call(get_node(p_values), false, "/admin/status");
-		behind = find_behind(json::parse(status.body), p_version);
+		behind = find_nodes_behind(json::parse(status.body), p_version);
 		const bool waits_for_suspects = behind.has_suspects && event_loop::now() < suspects_until;
 		if (behind.reachable.empty() && !waits_for_suspects) {
 			break;
@@ -98,7 +99,7 @@
 		throw usage_error("config publish needs a FILE");
 	}
 	const std::string text = read_file(p_values["file"].as<std::string>());
-	std::string path = "/admin/configuration?author=" + escape(p_values["author"].as<std::string>());
+	std::string path = "/admin/configuration?author=" + percent_encode(p_values["author"].as<std::string>());
 	if (p_values.count("base") > 0) {
 		path += "&base=" + std::to_string(p_values["base"].as<std::uint64_t>());
 	}
@@ -127,7 +128,7 @@
 	if (result.status != 200) {
 		return exit_code::FAILURE;
 	}
-	return p_values["wait"].as<bool>() ? wait_everywhere(client, p_values, answer.at("version").get<std::uint64_t>()) : exit_code::SUCCESS;
+	return p_values["wait"].as<bool>() ? wait_until_in_force(client, p_values, answer.at("version").get<std::uint64_t>()) : exit_code::SUCCESS;
 }
 
 exit_code show(const options::variables_map &p_values) {
--- a/main/commands/explain_command.cpp
+++ b/main/commands/explain_command.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: explain_command.cpp
- * explain: tells the story of one request from the logs of any number of nodes.
+ * Command explain: reconstructs the course of one request from the logs of any number of nodes.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -45,15 +45,15 @@
 		return exit_code::SUCCESS;
 	}
 	const std::vector<std::string> logs = values["log"].as<std::vector<std::string>>();
-	request_timeline story(values["id"].as<std::string>());
+	request_timeline timeline(values["id"].as<std::string>());
 	for (const std::string &log : logs) {
-		read_lines(log, [&story, &log](const std::string &p_line) { story.read(log, p_line); });
+		read_lines(log, [&timeline, &log](const std::string &p_line) { timeline.read(log, p_line); });
 	}
 	for (const std::string &log : logs) {
-		read_lines(log, [&story, &log](const std::string &p_line) { story.read_context(log, p_line); });
+		read_lines(log, [&timeline, &log](const std::string &p_line) { timeline.read_context(log, p_line); });
 	}
-	std::cout << story.write();
-	return story.is_known() ? exit_code::SUCCESS : exit_code::FAILURE;
+	std::cout << timeline.write();
+	return timeline.is_known() ? exit_code::SUCCESS : exit_code::FAILURE;
 }
 
 } // namespace calicoscale
--- a/main/commands/gateway_command.cpp
+++ b/main/commands/gateway_command.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: gateway_command.cpp
- * gateway: runs an entry node on a platform with a keyed store.
+ * Command gateway: runs an entry node on a platform with a keyed store.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
--- a/main/commands/load_command.cpp
+++ b/main/commands/load_command.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: load_command.cpp
- * load: sends a mix to nodes and reports.
+ * Command load: sends a mix of requests to nodes and prints a report.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
--- a/main/commands/report_commands.cpp
+++ b/main/commands/report_commands.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: report_commands.cpp
- * status, timeline, costs and drain.
+ * Commands status, timeline, costs and drain.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -25,7 +25,7 @@
 
 using json = nlohmann::json;
 
-constexpr double MICRO = 1e6;
+constexpr double MICROS_PER_UNIT = 1e6;
 
 json call_json(command_client &r_client, const network_address &p_to, const std::string &p_path) {
 	const http_result result = r_client.call(p_to, false, p_path);
@@ -67,7 +67,7 @@
 	return event;
 }
 
-/** Admin addresses of all nodes that one node knows, itself first. */
+/** Returns the admin addresses of a node and of all members that it lists and that aren't gone; the node itself comes first. */
 std::vector<network_address> find_nodes(command_client &r_client, const network_address &p_first) {
 	std::vector<network_address> nodes{ p_first };
 	const json status = call_json(r_client, p_first, "/admin/status");
@@ -141,7 +141,7 @@
 		for (const std::string &part : key) {
 			std::cout << std::left << std::setw(18) << part;
 		}
-		std::cout << std::right << std::fixed << std::setw(10) << row.attempts << std::setw(16) << std::setprecision(3) << static_cast<double>(row.micro_units) / MICRO << std::setw(16) << std::setprecision(6) << static_cast<double>(row.micro_cost) / MICRO << std::setw(16) << static_cast<double>(row.micro_waste) / MICRO << "\n";
+		std::cout << std::right << std::fixed << std::setw(10) << row.attempts << std::setw(16) << std::setprecision(3) << static_cast<double>(row.micro_units) / MICROS_PER_UNIT << std::setw(16) << std::setprecision(6) << static_cast<double>(row.micro_cost) / MICROS_PER_UNIT << std::setw(16) << static_cast<double>(row.micro_waste) / MICROS_PER_UNIT << "\n";
 	}
 }
 
@@ -203,13 +203,13 @@
 	command_client client = make_client(values);
 	const std::string path = "/admin/timeline?request=" + values["request"].as<std::string>() + "&most=" + std::to_string(values["most"].as<std::size_t>());
 	std::vector<node_event> events;
-	std::set<std::string> seen;
+	std::set<std::string> seen_vms;
 	exit_code result = exit_code::SUCCESS;
 	for (const network_address &address : find_nodes(client, get_node(values))) {
 		try {
 			const json answer = call_json(client, address, path);
 			const std::string vm = answer.at("vm").get<std::string>();
-			if (!seen.insert(vm).second) {
+			if (!seen_vms.insert(vm).second) {
 				continue;
 			}
 			for (const json &row : answer.at("events")) {
--- a/main/commands/serve_command.cpp
+++ b/main/commands/serve_command.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: serve_command.cpp
- * serve: runs a node. check: checks settings or a configuration.
+ * Command serve: runs a node. Command check: checks settings or a configuration.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -28,7 +28,7 @@
 	FLAGS_minloglevel = p_settings.log_level == "error" ? google::GLOG_ERROR : (p_settings.log_level == "warning" ? google::GLOG_WARNING : google::GLOG_INFO);
 }
 
-/** A configuration has customers, settings have a VM: that tells the two kinds of document apart. */
+/** Distinguishes the two kinds of document: a configuration has customers or pipelines, settings have neither. */
 bool looks_like_configuration(const std::string &p_text) {
 	const nlohmann::json document = nlohmann::json::parse(p_text, nullptr, false);
 	return document.is_object() && (document.contains("customers") || document.contains("pipelines"));
--- a/main/load/load_report.cpp
+++ b/main/load/load_report.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: load_report.cpp
- * What a load run measured.
+ * Samples and report of a load run.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -20,7 +20,7 @@
 
 using json = nlohmann::json;
 
-constexpr std::size_t MOST_FAULTS_KEPT = 20;
+constexpr std::size_t MAX_STORED_FAULTS = 20;
 
 double get_percentile(std::vector<duration> p_values, double p_share) {
 	if (p_values.empty()) {
@@ -57,7 +57,7 @@
 
 void load_report::add_fault(const std::string &p_what) {
 	_fault_count++;
-	if (_faults.size() < MOST_FAULTS_KEPT) {
+	if (_faults.size() < MAX_STORED_FAULTS) {
 		_faults.push_back(p_what);
 	}
 }
--- a/main/load/load_report.h
+++ b/main/load/load_report.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: load_report.h
- * What a load run measured.
+ * Samples and report of a load run.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -24,36 +24,36 @@
 struct load_sample {
 	std::string customer;
 	std::string pipeline;
-	std::string verdict; ///< As told, "unanswered" or "wrong".
+	std::string verdict; ///< The verdict of the answer; otherwise "unanswered", "unreachable" or "wrong".
 	std::string reason;
 	bool in_time = false; ///< Complete before its deadline.
-	duration latency = duration::zero(); ///< From the scheduled arrival.
-	duration first_token = duration(-1); ///< -1 for none.
-	std::vector<duration> gaps; ///< Between tokens.
-	std::map<std::string, double> costs; ///< Units by stage, as the answer told.
+	duration latency = duration::zero(); ///< From the scheduled arrival to the end of the answer.
+	duration first_token = duration(-1); ///< From the scheduled arrival to the first token; negative if no token arrived.
+	std::vector<duration> gaps; ///< Times between consecutive tokens.
+	std::map<std::string, double> costs; ///< Cost units by stage, as the answer reports them.
 };
 
-/** Gathers samples and writes the report. */
+/** Collects samples and writes the report. */
 class load_report {
 	std::vector<load_sample> _samples;
-	std::vector<std::string> _faults; ///< Answers that were wrong, bounded.
+	std::vector<std::string> _faults; ///< Descriptions of the first wrong answers, at most MAX_STORED_FAULTS.
 	std::uint64_t _fault_count = 0;
 	double _seconds = 0.0;
 
 public:
 	void add(load_sample p_sample);
 
-	/** Notes a wrong, doubled, truncated or misdelivered answer. */
+	/** Records a wrong, duplicated, truncated or misdelivered answer. */
 	void add_fault(const std::string &p_what);
 
 	void set_seconds(double p_seconds) { _seconds = p_seconds; }
 	std::uint64_t get_fault_count() const { return _fault_count; }
 	std::size_t get_size() const { return _samples.size(); }
 
-	/** Figures as JSON. */
+	/** Returns the figures as JSON; latencies and token times are in milliseconds, attainment is a share from 0 to 1. */
 	nlohmann::json to_json() const;
 
-	/** Figures as a table for people. */
+	/** Returns the figures as a table for the terminal. */
 	std::string to_table() const;
 };
 
--- a/main/load/load_run.cpp
+++ b/main/load/load_run.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: load_run.cpp
- * Sends a mix at a rate, open loop, and checks every answer.
+ * Sends a mix of requests at a given rate as an open loop and checks every answer.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -23,9 +23,10 @@
 
 using json = nlohmann::json;
 
+/** The time within which a request without a deadline of its own must complete to count as in time. */
 constexpr duration DEFAULT_DEADLINE = std::chrono::seconds(4);
-/** An answer this long after its deadline counts as none. */
-constexpr duration PATIENCE = std::chrono::seconds(10);
+/** A request that hasn't terminated this long after its deadline is given up and counts as unanswered. */
+constexpr duration GIVE_UP_AFTER_DEADLINE = std::chrono::seconds(10);
 constexpr duration PROGRESS_INTERVAL = std::chrono::seconds(1);
 constexpr int STATUS_OK = 200;
 
@@ -63,9 +64,9 @@
 	const double gap = -std::log(1.0 - _random.get_unit()) / _get_rate(_next_arrival);
 	_next_arrival += from_seconds(gap);
 	if (_next_arrival >= _started + _options.warm_up + _options.length) {
-		_ended = true;
+		_is_sending_done = true;
 		_report.set_seconds(to_seconds(_options.length));
-		_maybe_stop();
+		_stop_if_done();
 		return;
 	}
 	_next_timer.set_at(_next_arrival);
@@ -73,12 +74,12 @@
 
 void load_run::_send_due() {
 	const instant now = event_loop::now();
-	while (!_ended && _next_arrival <= now) {
+	while (!_is_sending_done && _next_arrival <= now) {
 		_send(_next_arrival);
 		_schedule_next();
 	}
-	if (!_ended) {
-		// A timer may fire a little before its time; then nothing was due yet.
+	if (!_is_sending_done) {
+		// A timer may fire slightly early, before the next arrival is due, so it is set again.
 		_next_timer.set_at(_next_arrival);
 	}
 }
@@ -113,7 +114,7 @@
 	while (text.size() + shared.size() < kind.input_bytes) {
 		text += to_hex(_random.get_bits()) + " ";
 	}
-	// "context" sorts before "marker", so the shared opening is also the opening of the JSON text.
+	// "context" sorts before "marker", so the shared prefix also comes first in the JSON text.
 	return json({ { "input", { { "context", shared }, { "marker", p_request.marker }, { "text", text } } }, { "stream", kind.stream } }).dump();
 }
 
@@ -142,7 +143,7 @@
 	call.to = _options.targets[_random.get_below(_options.targets.size())];
 	call.is_post = true;
 	call.path = "/v1/pipelines/" + kind.pipeline + "/requests";
-	call.timeout = request.deadline + PATIENCE;
+	call.timeout = request.deadline + GIVE_UP_AFTER_DEADLINE;
 	call.headers = { { "Authorization", "Bearer " + _mix.customers[request.customer].key }, { "Content-Type", "application/json" } };
 	if (kind.deadline > duration::zero()) {
 		call.headers.push_back(http_header{ "Request-Deadline-Ms", std::to_string(kind.deadline.count() / 1000) });
@@ -153,28 +154,28 @@
 	call.body = _make_input(request);
 	http_hooks hooks;
 	if (kind.stream) {
-		hooks.on_chunk = [this, &request](std::string_view p_chunk) { _take_chunk(request, p_chunk); };
+		hooks.on_chunk = [this, &request](std::string_view p_chunk) { _on_chunk(request, p_chunk); };
 	}
-	hooks.on_end = [this, id](const http_result &p_result) { _end(id, p_result); };
+	hooks.on_end = [this, id](const http_result &p_result) { _on_end(id, p_result); };
 	_open.emplace(id, std::move(made));
 	_client.start(call, std::move(hooks));
 }
 
-void load_run::_take_chunk(open_request &r_request, std::string_view p_chunk) {
-	r_request.rest.append(p_chunk);
+void load_run::_on_chunk(open_request &r_request, std::string_view p_chunk) {
+	r_request.unparsed.append(p_chunk);
 	std::size_t start = 0;
 	while (true) {
-		const std::size_t end = r_request.rest.find('\n', start);
+		const std::size_t end = r_request.unparsed.find('\n', start);
 		if (end == std::string::npos) {
 			break;
 		}
-		_take_event_line(r_request, r_request.rest.substr(start, end - start));
+		_on_event_line(r_request, r_request.unparsed.substr(start, end - start));
 		start = end + 1;
 	}
-	r_request.rest.erase(0, start);
+	r_request.unparsed.erase(0, start);
 }
 
-void load_run::_take_event_line(open_request &r_request, const std::string &p_line) {
+void load_run::_on_event_line(open_request &r_request, const std::string &p_line) {
 	if (p_line.starts_with("event: ")) {
 		r_request.last_event = p_line.substr(7);
 		return;
@@ -198,7 +199,7 @@
 	const json token = json::parse(data, nullptr, false);
 	const instant now = event_loop::now();
 	if (!token.is_object() || token.value("sequence", std::size_t(0)) != r_request.tokens.size()) {
-		_fault(r_request, "token out of sequence");
+		_add_fault(r_request, "token out of sequence");
 		return;
 	}
 	if (r_request.tokens.empty()) {
@@ -210,62 +211,62 @@
 	r_request.tokens.push_back(token.value("token", ""));
 }
 
-void load_run::_fault(open_request &r_request, const std::string &p_what) {
+void load_run::_add_fault(open_request &r_request, const std::string &p_what) {
 	r_request.sample.verdict = "wrong";
 	_report.add_fault(r_request.sample.pipeline + " " + r_request.marker + ": " + p_what);
 }
 
-void load_run::_end(std::uint64_t p_id, const http_result &p_result) {
+void load_run::_on_end(std::uint64_t p_id, const http_result &p_result) {
 	const std::unique_ptr<open_request> request = std::move(_open.at(p_id));
 	_open.erase(p_id);
 	request->sample.latency = event_loop::now() - request->scheduled;
-	_judge(*request, p_result);
+	_classify(*request, p_result);
 	if (request->measured) {
 		_report.add(std::move(request->sample));
 	}
-	_maybe_stop();
+	_stop_if_done();
 }
 
-void load_run::_judge(open_request &r_request, const http_result &p_result) {
+void load_run::_classify(open_request &r_request, const http_result &p_result) {
 	if (r_request.sample.verdict == "wrong") {
 		return;
 	}
 	if (p_result.failure != http_failure::NONE) {
-		// A node that died takes its answers with it; the caller cannot tell more than this.
+		// The answers of a crashed node are lost with it; the caller can only tell whether it could connect.
 		r_request.sample.verdict = p_result.failure == http_failure::CONNECT_FAILED ? "unreachable" : "unanswered";
 		if (r_request.done_count > 0) {
-			_judge_stream(r_request);
+			_check_stream(r_request);
 		}
 		return;
 	}
 	if (p_result.status != STATUS_OK) {
-		_judge_problem(r_request, p_result.body);
+		_record_problem(r_request, p_result.body);
 	} else if (!r_request.error.empty()) {
-		_judge_problem(r_request, r_request.error);
+		_record_problem(r_request, r_request.error);
 	} else if (_mix.requests[r_request.kind].stream) {
-		_judge_stream(r_request);
+		_check_stream(r_request);
 	} else {
-		_judge_whole(r_request, p_result.body);
+		_check_complete_answer(r_request, p_result.body);
 	}
 }
 
-void load_run::_judge_problem(open_request &r_request, const std::string &p_body) {
+void load_run::_record_problem(open_request &r_request, const std::string &p_body) {
 	const json problem = json::parse(p_body, nullptr, false);
 	if (!problem.is_object() || !problem.contains("verdict")) {
-		_fault(r_request, "an error without a verdict: " + p_body);
+		_add_fault(r_request, "an error without a verdict: " + p_body);
 		return;
 	}
 	r_request.sample.verdict = problem.value("verdict", "");
 	r_request.sample.reason = problem.value("reason", "");
 	if (r_request.sample.verdict == "not_run" && !r_request.tokens.empty()) {
-		_fault(r_request, "not_run after tokens came");
+		_add_fault(r_request, "not_run after tokens came");
 	}
 }
 
-void load_run::_judge_stream(open_request &r_request) {
+void load_run::_check_stream(open_request &r_request) {
 	const json done = json::parse(r_request.done, nullptr, false);
 	if (!done.is_object() || r_request.done_count != 1) {
-		_fault(r_request, "a stream that ended without exactly one done event");
+		_add_fault(r_request, "a stream that ended without exactly one done event");
 		return;
 	}
 	stream_digest digest;
@@ -273,12 +274,12 @@
 		digest.add(token);
 	}
 	if (done.value("count", std::size_t(0)) != r_request.tokens.size() || done.value("digest", "") != digest.to_string()) {
-		_fault(r_request, "count or digest of the stream do not match");
+		_add_fault(r_request, "count or digest of the stream do not match");
 		return;
 	}
 	const std::optional<std::string> wrong = _options.check_chain ? check_chain(r_request.tokens, r_request.marker) : std::nullopt;
 	if (wrong) {
-		_fault(r_request, *wrong);
+		_add_fault(r_request, *wrong);
 		return;
 	}
 	for (const json &stage : done.value("stages", json::array())) {
@@ -288,10 +289,10 @@
 	r_request.sample.in_time = r_request.sample.latency <= r_request.deadline;
 }
 
-void load_run::_judge_whole(open_request &r_request, const std::string &p_body) {
+void load_run::_check_complete_answer(open_request &r_request, const std::string &p_body) {
 	const json answer = json::parse(p_body, nullptr, false);
 	if (!answer.is_object() || answer.value("verdict", "") != "completed" || !answer.contains("output")) {
-		_fault(r_request, "a 200 answer that is not complete");
+		_add_fault(r_request, "a 200 answer that is not complete");
 		return;
 	}
 	const json &output = answer["output"];
@@ -302,7 +303,7 @@
 		wrong = "the answer belongs to another request";
 	}
 	if (wrong) {
-		_fault(r_request, *wrong);
+		_add_fault(r_request, *wrong);
 		return;
 	}
 	for (const json &stage : answer.value("stages", json::array())) {
@@ -318,8 +319,8 @@
 	_progress_timer.set(PROGRESS_INTERVAL);
 }
 
-void load_run::_maybe_stop() {
-	if (_ended && _open.empty()) {
+void load_run::_stop_if_done() {
+	if (_is_sending_done && _open.empty()) {
 		_loop.stop();
 	}
 }
