--- a/main/commands/serve_command.cpp
+++ b/main/commands/serve_command.cpp
@@ -28,7 +28,7 @@
 	FLAGS_minloglevel = p_settings.log_level == "error" ? google::GLOG_ERROR : (p_settings.log_level == "warning" ? google::GLOG_WARNING : google::GLOG_INFO);
 }
 
-/** Distinguishes the two kinds of document: a configuration has customers or pipelines, settings have neither. */
+/** Distinguishes the two kinds of document: a configuration has customers or pipelines, settings have a VM and neither of these. */
 bool looks_like_configuration(const std::string &p_text) {
 	const nlohmann::json document = nlohmann::json::parse(p_text, nullptr, false);
 	return document.is_object() && (document.contains("customers") || document.contains("pipelines"));
