--- a/main/load/load_run.cpp
+++ b/main/load/load_run.cpp
@@ -23,9 +23,9 @@
 
 using json = nlohmann::json;
 
-/** The time within which a request without a deadline of its own must complete to count as in time. */
+/** Deadline by which requests without one of their own are judged; equals a pipeline's default in the configuration. */
 constexpr duration DEFAULT_DEADLINE = std::chrono::seconds(4);
-/** A request that hasn't terminated this long after its deadline is given up and counts as unanswered. */
+/** A request whose connection makes no progress for its deadline plus this time is given up and counts as unanswered. */
 constexpr duration GIVE_UP_AFTER_DEADLINE = std::chrono::seconds(10);
 constexpr duration PROGRESS_INTERVAL = std::chrono::seconds(1);
 constexpr int STATUS_OK = 200;
