--- a/main/serve/configuration_service.cpp
+++ b/main/serve/configuration_service.cpp
@@ -19,13 +19,13 @@
 
 namespace {
 
-constexpr duration SHORTEST_POLL = std::chrono::milliseconds(200);
-constexpr duration POLL_WHILE_PUBLISHING = std::chrono::milliseconds(40);
-/** Polls of the whole fleet in a second; the first node to see a change relays it. */
+constexpr duration MIN_POLL_INTERVAL = std::chrono::milliseconds(200);
+constexpr duration PUBLISHING_POLL_INTERVAL = std::chrono::milliseconds(40);
+/** Polls per second by the whole fleet; the first node that reads a change relays it to the others. */
 constexpr double FLEET_POLLS_PER_SECOND = 25.0;
 constexpr std::size_t RECORDS_PER_READ = 200;
 constexpr duration APPEND_TIMEOUT = std::chrono::seconds(2);
-constexpr duration CHECKPOINT_CHECK = std::chrono::seconds(2);
+constexpr duration CHECKPOINT_CHECK_INTERVAL = std::chrono::seconds(2);
 constexpr int CHECKPOINTS_PER_RETENTION = 4;
 
 } // namespace
@@ -40,15 +40,15 @@
 
 void configuration_service::start() {
 	_read();
-	_checkpoint_timer.set(CHECKPOINT_CHECK);
+	_checkpoint_timer.set(CHECKPOINT_CHECK_INTERVAL);
 }
 
 duration configuration_service::_get_poll_interval() {
 	if (!_publications.empty()) {
-		return POLL_WHILE_PUBLISHING;
+		return PUBLISHING_POLL_INTERVAL;
 	}
 	const duration shared = from_seconds(static_cast<double>(_fleet_size) / FLEET_POLLS_PER_SECOND);
-	const duration base = std::max(SHORTEST_POLL, shared);
+	const duration base = std::max(MIN_POLL_INTERVAL, shared);
 	return base / 2 + duration(static_cast<duration::rep>(static_cast<double>(base.count()) * _random.get_unit()));
 }
 
@@ -75,9 +75,9 @@
 	}
 	bool has_more = false;
 	if (answers) {
-		const bool rose = _fold.take_read(p_read->earliest, p_read->entries, event_loop::wall());
+		const bool version_increased = _fold.take_read(p_read->earliest, p_read->entries, event_loop::wall());
 		has_more = !p_read->entries.empty() && _fold.get_position() < p_read->next;
-		_note_change(rose, "log");
+		_note_change(version_increased, "log");
 	} else {
 		_context.metrics.count("log_read_failed");
 	}
@@ -89,13 +89,13 @@
 	_poll_timer.set(_get_poll_interval());
 }
 
-void configuration_service::_note_change(bool p_rose, const std::string &p_source) {
-	if (_fold.get_invalid_count() != _invalid_seen) {
-		_context.metrics.count("configuration_record_invalid", static_cast<double>(_fold.get_invalid_count() - _invalid_seen));
-		_invalid_seen = _fold.get_invalid_count();
-		_context.timeline.add(event_kind::CONFIGURATION_REJECTED, "", "records", std::to_string(_invalid_seen) + " invalid so far");
+void configuration_service::_note_change(bool p_version_increased, const std::string &p_source) {
+	if (_fold.get_invalid_count() != _reported_invalid_count) {
+		_context.metrics.count("configuration_record_invalid", static_cast<double>(_fold.get_invalid_count() - _reported_invalid_count));
+		_reported_invalid_count = _fold.get_invalid_count();
+		_context.timeline.add(event_kind::CONFIGURATION_REJECTED, "", "records", std::to_string(_reported_invalid_count) + " invalid so far");
 	}
-	if (!p_rose) {
+	if (!p_version_increased) {
 		return;
 	}
 	const std::string version = std::to_string(_fold.get_version());
@@ -106,8 +106,8 @@
 }
 
 void configuration_service::apply_snapshot(const configuration_snapshot &p_snapshot, const std::string &p_peer) {
-	const bool rose = _fold.apply_snapshot(p_snapshot);
-	_note_change(rose, p_peer);
+	const bool version_increased = _fold.apply_snapshot(p_snapshot);
+	_note_change(version_increased, p_peer);
 	_advance_publications();
 }
 
@@ -118,7 +118,7 @@
 	const instant give_up_at = event_loop::now() + p_within;
 	_publications.push_back(std::make_unique<open_publication>(open_publication{ std::move(record), change_publisher(change_id, give_up_at), std::move(p_hook) }));
 	_advance_publications();
-	_poll_timer.set(POLL_WHILE_PUBLISHING);
+	_poll_timer.set(PUBLISHING_POLL_INTERVAL);
 }
 
 void configuration_service::_append(open_publication &r_publication) {
@@ -162,7 +162,7 @@
 }
 
 void configuration_service::_maybe_checkpoint() {
-	// Nodes draw different waits, and each sees the others' checkpoints, so usually one writes.
+	// Each node draws a random wait and reads the checkpoints of the others, so usually only one node writes.
 	const double factor = 1.0 + _random.get_unit();
 	const duration part = _context.settings.platform.log_retention / CHECKPOINTS_PER_RETENTION;
 	const duration wait(static_cast<duration::rep>(static_cast<double>(part.count()) * factor));
@@ -172,7 +172,7 @@
 		_context.log.append(log_stream::CONFIGURATION, encode(*checkpoint), APPEND_TIMEOUT, [](append_result, std::uint64_t) {});
 	}
 	const double spread = 0.5 + _random.get_unit();
-	_checkpoint_timer.set(duration(static_cast<duration::rep>(static_cast<double>(CHECKPOINT_CHECK.count()) * spread)));
+	_checkpoint_timer.set(duration(static_cast<duration::rep>(static_cast<double>(CHECKPOINT_CHECK_INTERVAL.count()) * spread)));
 }
 
 } // namespace calicoscale
--- a/main/serve/configuration_service.h
+++ b/main/serve/configuration_service.h
@@ -21,7 +21,7 @@
 
 namespace calicoscale {
 
-/** How a publication ended, for the operator. */
+/** Outcome of a publication, reported to the operator. */
 struct publication {
 	publish_result result = publish_result::PENDING;
 	history_entry fate;
@@ -29,7 +29,10 @@
 	std::uint64_t version_in_force = 0;
 };
 
-/** Carries configuration_fold: polls the log, less often the more nodes share the polling, and relays by signal. */
+/**
+ * Runs configuration_fold: polls the log, publishes changes, writes checkpoints and signals new versions.
+ * The poll interval grows with the number of nodes that share the polling.
+ */
 class configuration_service {
 	struct open_publication {
 		change_record record;
@@ -46,7 +49,7 @@
 	bool _is_reading = false;
 	bool _log_answers = false;
 	bool _platform_cut = false;
-	std::uint64_t _invalid_seen = 0;
+	std::uint64_t _reported_invalid_count = 0;
 	std::uint64_t _published = 0;
 	random_source _random;
 	sigc::signal<void()> _version_in_force;
@@ -57,28 +60,28 @@
 	void _advance(open_publication &r_publication);
 	void _append(open_publication &r_publication);
 	void _advance_publications();
-	void _note_change(bool p_rose, const std::string &p_source);
+	void _note_change(bool p_version_increased, const std::string &p_source);
 	void _maybe_checkpoint();
 
 public:
 	explicit configuration_service(node_context &p_context);
 
-	/** Begins to read. */
+	/** Starts polling the log and checking whether a checkpoint is due. */
 	void start();
 
-	/** Tells how many nodes share the polling. */
+	/** Sets the number of nodes that share the polling. */
 	void set_fleet_size(std::size_t p_size) { _fleet_size = p_size; }
 
-	/** Takes in what a peer told. */
+	/** Applies a snapshot received from a peer. */
 	void apply_snapshot(const configuration_snapshot &p_snapshot, const std::string &p_peer);
 
-	/** Publishes a document built on a version; the hook is called once, within the time given. */
+	/** Publishes a document based on version `p_base`. The hook is called once; the publication gives up after `p_within`. */
 	void publish(const std::string &p_document, std::uint64_t p_base, const std::string &p_author, duration p_within, std::function<void(const publication &)> p_hook);
 
-	/** Cuts this node off from the platform, for failure tests. */
+	/** Simulates loss of the platform's log for failure tests: while set, the log is neither read nor appended to. */
 	void set_platform_cut(bool p_cut) { _platform_cut = p_cut; }
 
-	/** Emitted when the version in force rose. */
+	/** Emitted when the version in force has increased. */
 	sigc::signal<void()> &version_in_force() { return _version_in_force; }
 
 	const configuration_fold &get_fold() const { return _fold; }
