--- a/main/serve/configuration_service.cpp
+++ b/main/serve/configuration_service.cpp
@@ -164,8 +164,8 @@
 void configuration_service::_maybe_checkpoint() {
 	// Each node draws a random wait and reads the checkpoints of the others, so usually only one node writes.
 	const double factor = 1.0 + _random.get_unit();
-	const duration part = _context.settings.platform.log_retention / CHECKPOINTS_PER_RETENTION;
-	const duration wait(static_cast<duration::rep>(static_cast<double>(part.count()) * factor));
+	const duration base_wait = _context.settings.platform.log_retention / CHECKPOINTS_PER_RETENTION;
+	const duration wait(static_cast<duration::rep>(static_cast<double>(base_wait.count()) * factor));
 	const std::optional<checkpoint_record> checkpoint = _fold.make_checkpoint(event_loop::wall(), wait);
 	if (checkpoint && _log_answers && !_platform_cut) {
 		_context.metrics.count("checkpoint_written");
