--- a/main/serve/fleet_service.cpp
+++ b/main/serve/fleet_service.cpp
@@ -18,15 +18,18 @@
 
 namespace {
 
-constexpr duration BEAT = std::chrono::seconds(1);
-/** The list is fetched each second while it is short; a long one is spread, as any node's leaving marks reach all. */
-constexpr duration SHORTEST_LIST_INTERVAL = std::chrono::seconds(1);
-constexpr duration LONGEST_LIST_INTERVAL = std::chrono::seconds(60);
+constexpr duration HEARTBEAT_INTERVAL = std::chrono::seconds(1);
+/**
+ * The interval between fetches of the VM list grows with the size of the list, within these bounds.
+ * A long interval is acceptable because leaving marks found by any node reach all nodes.
+ */
+constexpr duration MIN_LIST_INTERVAL = std::chrono::seconds(1);
+constexpr duration MAX_LIST_INTERVAL = std::chrono::seconds(60);
 constexpr double LIST_BYTES_PER_SECOND = 6.0 * 1024.0;
 constexpr duration LOAD_INTERVAL = std::chrono::milliseconds(250);
 constexpr std::size_t LOADS_PER_INTERVAL = 3;
-constexpr std::size_t MARKS_PER_BEAT = 8;
-constexpr duration ASK_AGAIN_AFTER = std::chrono::seconds(1);
+constexpr std::size_t MARKS_PER_HEARTBEAT = 8;
+constexpr duration CONFIGURATION_REQUEST_INTERVAL = std::chrono::seconds(1);
 
 member_digest make_self(const node_context &p_context, const network_address &p_link, const network_address &p_admin) {
 	member_digest self;
@@ -48,31 +51,31 @@
 		_limiter(p_limiter),
 		_link(p_context.loop, p_context.settings.link_address, link_identity{ p_context.settings.vm, p_context.incarnation, p_context.settings.fleet_key }),
 		_members(make_self(p_context, _link.get_address(), p_admin)),
-		_beat_timer(p_context.loop, [this] { _beat(); }),
+		_heartbeat_timer(p_context.loop, [this] { _on_heartbeat_timer(); }),
 		_list_timer(p_context.loop, [this] { _fetch_list(); }),
 		_load_timer(p_context.loop, [this] { _poll_loads(); }) {
 	_link.heartbeat_received().connect([this](const std::string &p_vm, const heartbeat_message &p_message) { _on_heartbeat(p_vm, p_message); });
-	_link.configuration_requested().connect([this](const std::string &p_vm, std::uint64_t p_have) { _on_configuration_asked(p_vm, p_have); });
+	_link.configuration_requested().connect([this](const std::string &p_vm, std::uint64_t p_have) { _on_configuration_requested(p_vm, p_have); });
 	_link.configuration_reported().connect([this](const std::string &p_vm, const configuration_snapshot &p_snapshot) { _configuration.apply_snapshot(p_snapshot, p_vm); });
-	_link.link_up().connect([this](const std::string &p_vm) { _tell(p_vm); });
+	_link.link_up().connect([this](const std::string &p_vm) { _send_heartbeat(p_vm); });
 	_configuration.version_in_force().connect([this] { _send_heartbeats(); });
 }
 
 void fleet_service::start() {
 	_fetch_list();
-	_beat();
+	_on_heartbeat_timer();
 	_load_timer.set(LOAD_INTERVAL);
 }
 
-void fleet_service::_beat() {
-	_beats++;
+void fleet_service::_on_heartbeat_timer() {
+	_heartbeat_count++;
 	_members.tick(event_loop::now());
 	_note_changes();
 	_dial_neighbours();
 	_send_heartbeats();
 	_configuration.set_fleet_size(_members.get_members().size() + 1);
 	_share_limits();
-	_beat_timer.set(BEAT);
+	_heartbeat_timer.set(HEARTBEAT_INTERVAL);
 }
 
 void fleet_service::_send_heartbeats() {
@@ -86,7 +89,7 @@
 	}
 }
 
-void fleet_service::_tell(const std::string &p_vm) {
+void fleet_service::_send_heartbeat(const std::string &p_vm) {
 	heartbeat_message message;
 	message.at = _context.timeline.stamp();
 	message.digests = _members.make_heartbeat();
@@ -100,7 +103,7 @@
 	if (marks.empty()) {
 		return picked;
 	}
-	const std::size_t count = std::min(marks.size(), MARKS_PER_BEAT);
+	const std::size_t count = std::min(marks.size(), MARKS_PER_HEARTBEAT);
 	auto entry = marks.begin();
 	std::advance(entry, _next_mark % marks.size());
 	for (std::size_t i = 0; i < count; i++) {
@@ -125,24 +128,24 @@
 	}
 	for (const member_digest &digest : p_message.digests) {
 		if (digest.vm == p_vm) {
-			_maybe_ask(p_vm, digest.configuration_version);
+			_maybe_request_configuration(p_vm, digest.configuration_version);
 		}
 	}
 }
 
-void fleet_service::_maybe_ask(const std::string &p_vm, std::uint64_t p_version) {
+void fleet_service::_maybe_request_configuration(const std::string &p_vm, std::uint64_t p_version) {
 	const instant now = event_loop::now();
 	const bool is_certain = _configuration.get_fold().is_certain();
 	const bool is_behind = p_version > _configuration.get_fold().get_version();
 	const bool needs_state = !is_certain && p_version > 0;
-	if ((!is_behind && !needs_state) || now - _asked_configuration_at < ASK_AGAIN_AFTER) {
+	if ((!is_behind && !needs_state) || now - _configuration_requested_at < CONFIGURATION_REQUEST_INTERVAL) {
 		return;
 	}
-	_asked_configuration_at = now;
+	_configuration_requested_at = now;
 	_link.ask_configuration(p_vm, _configuration.get_fold().get_version());
 }
 
-void fleet_service::_on_configuration_asked(const std::string &p_vm, std::uint64_t p_have) {
+void fleet_service::_on_configuration_requested(const std::string &p_vm, std::uint64_t p_have) {
 	const configuration_snapshot snapshot = _configuration.get_fold().get_snapshot();
 	if (snapshot.version >= p_have && snapshot.version > 0) {
 		_link.send(p_vm, snapshot);
@@ -157,7 +160,7 @@
 		}
 	}
 	if (_link.get_linked().empty()) {
-		// Nothing is known yet or all links are gone: the addresses from the settings are the way back in.
+		// No peer is known yet or all links are down: the addresses from the settings allow (re)joining the fleet.
 		for (const network_address &peer : _context.settings.peers) {
 			if (!(peer == _link.get_address())) {
 				_link.dial_unnamed(peer);
@@ -176,18 +179,18 @@
 
 void fleet_service::_on_list_answer(const std::optional<vm_listing> &p_listing) {
 	const duration by_size = from_seconds(p_listing ? static_cast<double>(p_listing->bytes) / LIST_BYTES_PER_SECOND : 0.0);
-	_list_timer.set(std::clamp<duration>(by_size, SHORTEST_LIST_INTERVAL, LONGEST_LIST_INTERVAL));
+	_list_timer.set(std::clamp<duration>(by_size, MIN_LIST_INTERVAL, MAX_LIST_INTERVAL));
 	if (!p_listing) {
 		_context.metrics.count("vm_list_failed");
 		return;
 	}
 	const instant now = event_loop::now();
-	const bool was_doubting = _guard.is_list_deferred();
+	const bool was_deferred = _guard.is_list_deferred();
 	const std::size_t marks_before = _router.get_leaving_marks().size();
 	_router.set_listings(_guard.take(p_listing->endpoints, now));
 	_members.apply_listings(p_listing->entries, now);
 	_list_known = _list_known || !p_listing->endpoints.empty();
-	if (_guard.is_list_deferred() != was_doubting) {
+	if (_guard.is_list_deferred() != was_deferred) {
 		LOG(WARNING) << "event=vm_list_doubted doubting=" << _guard.is_list_deferred() << " endpoints=" << p_listing->endpoints.size();
 	}
 	if (_router.get_leaving_marks().size() != marks_before) {
@@ -239,13 +242,13 @@
 	const customer_demands demand = _limiter.get_demand(now);
 	for (const customer_settings &customer : current->customers) {
 		const bool is_quiet = !demand.contains(get_customer_code(customer.name));
-		// A quiet customer's part is refreshed now and then; its first request finds a recent one.
-		if (is_quiet && !all && _beats % 10 != 0) {
+		// The share of a customer without demand is refreshed on every tenth heartbeat, so that its first request finds a recent one.
+		if (is_quiet && !all && _heartbeat_count % 10 != 0) {
 			continue;
 		}
 		const customer_limits limits = get_limits(*current, customer);
-		const node_limit_share part = compute_limit_share(_context.settings.vm, members, current->policy.zones, customer.name, limits.requests_per_second, limits.concurrency);
-		_limiter.set_part(customer.name, limits, part, now);
+		const node_limit_share share = compute_limit_share(_context.settings.vm, members, current->policy.zones, customer.name, limits.requests_per_second, limits.concurrency);
+		_limiter.set_part(customer.name, limits, share, now);
 	}
 }
 
