--- a/main/serve/ledger_service.cpp
+++ b/main/serve/ledger_service.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: ledger_service.cpp
- * Writes this node's costs to the log and sums everybody's on demand.
+ * Writes this node's costs to the log and sums the costs of all nodes on demand.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -14,8 +14,8 @@
 
 namespace {
 
-constexpr duration SHORTEST_FLUSH_INTERVAL = std::chrono::seconds(2);
-/** Ledger appends of the whole fleet; the log takes several hundred of all kinds. */
+constexpr duration MIN_FLUSH_INTERVAL = std::chrono::seconds(2);
+/** Ledger appends per second by the whole fleet; the log supports several hundred appends of all kinds. */
 constexpr double FLEET_APPENDS_PER_SECOND = 50.0;
 constexpr duration APPEND_TIMEOUT = std::chrono::seconds(3);
 constexpr std::size_t RECORDS_PER_READ = 500;
@@ -26,12 +26,12 @@
 		_context(p_context),
 		_ledger(p_context.settings.vm, p_context.incarnation),
 		_flush_timer(p_context.loop, [this] { _flush(); }) {
-	_flush_timer.set(SHORTEST_FLUSH_INTERVAL);
+	_flush_timer.set(MIN_FLUSH_INTERVAL);
 }
 
 duration ledger_service::_get_interval() const {
 	const duration shared = from_seconds(static_cast<double>(_fleet_size) / FLEET_APPENDS_PER_SECOND);
-	return std::max<duration>(SHORTEST_FLUSH_INTERVAL, shared);
+	return std::max<duration>(MIN_FLUSH_INTERVAL, shared);
 }
 
 void ledger_service::_flush() {
@@ -51,7 +51,7 @@
 	});
 }
 
-void ledger_service::_read_on(std::function<void(bool)> p_hook) {
+void ledger_service::_read_to_end(std::function<void(bool)> p_hook) {
 	if (_platform_cut) {
 		p_hook(false);
 		return;
@@ -66,14 +66,14 @@
 			_position = p_read->earliest;
 		}
 		for (const log_entry &entry : p_read->entries) {
-			// Two sums may read at once; each record is still taken once.
+			// Two calls of sum() may read concurrently; the offset check ensures that each record is counted once.
 			if (entry.offset >= _position) {
 				_fold.take(entry.bytes);
 				_position = entry.offset + 1;
 			}
 		}
 		if (!p_read->entries.empty() && _position < p_read->next) {
-			_read_on(hook);
+			_read_to_end(hook);
 			return;
 		}
 		hook(true);
