--- a/main/serve/admin_interface.cpp
+++ b/main/serve/admin_interface.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: admin_interface.cpp
- * HTTP towards operators and scrapers, at its own address with its own key.
+ * HTTP interface for operators and metrics scrapers, with its own address and key.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -24,10 +24,10 @@
 
 constexpr std::size_t ADMIN_BODY_BYTES = 2 * 1024 * 1024;
 constexpr int ADMIN_IDLE_SECONDS = 60;
-constexpr duration PUBLISH_WITHIN = std::chrono::seconds(8);
-constexpr std::size_t MOST_EVENTS = 20000;
+constexpr duration PUBLISH_TIMEOUT = std::chrono::seconds(8);
+constexpr std::size_t MAX_EVENTS = 20000;
 constexpr std::string_view BEARER = "Bearer ";
-constexpr double MICROSECONDS = 1e6;
+constexpr double MICROSECONDS_PER_SECOND = 1e6;
 
 void reply_json(http_exchange &r_exchange, int p_status, const json &p_document) {
 	r_exchange.reply(p_status, "application/json", p_document.dump(-1, ' ', false, json::error_handler_t::replace) + "\n");
@@ -58,7 +58,7 @@
 }
 
 double to_cpu_seconds(const timeval &p_time) {
-	return static_cast<double>(p_time.tv_sec) + static_cast<double>(p_time.tv_usec) / MICROSECONDS;
+	return static_cast<double>(p_time.tv_sec) + static_cast<double>(p_time.tv_usec) / MICROSECONDS_PER_SECOND;
 }
 
 json write_process_use() {
@@ -193,7 +193,7 @@
 
 void admin_interface::_show_timeline(std::unique_ptr<http_exchange> p_exchange) {
 	const std::string request = p_exchange->find_parameter("request").value_or("");
-	const std::size_t most = std::min<std::size_t>(MOST_EVENTS, read_number(p_exchange->find_parameter("most"), MOST_EVENTS));
+	const std::size_t most = std::min<std::size_t>(MAX_EVENTS, read_number(p_exchange->find_parameter("most"), MAX_EVENTS));
 	json events = json::array();
 	for (const timeline_event &event : _context.timeline.get_ring().find(request, most)) {
 		events.push_back({ event.at.wall, event.at.counter, static_cast<int>(event.kind), event.request, event.subject, event.detail, event.elapsed_microseconds });
@@ -245,7 +245,7 @@
 		return;
 	}
 	const std::shared_ptr<http_exchange> exchange = std::move(p_exchange);
-	_configuration.publish(text, base, author, PUBLISH_WITHIN, [exchange](const publication &p_publication) {
+	_configuration.publish(text, base, author, PUBLISH_TIMEOUT, [exchange](const publication &p_publication) {
 		json answer;
 		answer["result"] = get_name(p_publication.result);
 		answer["change_id"] = p_publication.change_id;
--- a/main/serve/admin_interface.h
+++ b/main/serve/admin_interface.h
@@ -53,7 +53,7 @@
 public:
 	admin_interface(node_context &p_context, configuration_service &p_configuration);
 
-	/** Gives the parts it shows, which are made after it. */
+	/** Sets the services that the interface reports on; they are constructed after it. */
 	void connect(fleet_service &p_fleet, request_door &p_door, request_service &p_requests, ledger_service &p_ledger, once_service &p_once, router &p_router, std::function<void()> p_on_drain);
 
 	const network_address &get_address() const { return _server.get_address(); }
