--- a/main/serve/caller_interface.cpp
+++ b/main/serve/caller_interface.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: caller_interface.cpp
- * HTTP towards callers.
+ * HTTP interface for callers.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -26,8 +26,8 @@
 constexpr std::string_view BEARER = "Bearer ";
 constexpr duration TICKET_LIFETIME = std::chrono::minutes(10);
 constexpr duration RESUME_LIFETIME = std::chrono::minutes(2);
-constexpr duration RESUME_WITHIN = std::chrono::seconds(20);
-constexpr int DEEPEST_JSON = 64;
+constexpr duration RESUME_TIMEOUT = std::chrono::seconds(20);
+constexpr int MAX_JSON_DEPTH = 64;
 
 std::optional<std::int64_t> parse_whole_number(const std::string &p_text) {
 	std::int64_t value = 0;
@@ -39,12 +39,12 @@
 	return value;
 }
 
-/** Parses JSON of bounded depth; discarded when it is malformed, not UTF-8 or too deep. */
+/** Parses JSON of bounded depth. Returns a discarded value if the text is malformed, isn't UTF-8 or is nested too deeply. */
 json parse_bounded(const std::string &p_text) {
 	bool too_deep = false;
 	const json document = json::parse(
 			p_text, [&too_deep](int p_depth, json::parse_event_t, json &) {
-				too_deep = too_deep || p_depth > DEEPEST_JSON;
+				too_deep = too_deep || p_depth > MAX_JSON_DEPTH;
 				return !too_deep;
 			},
 			false);
@@ -53,14 +53,14 @@
 
 } // namespace
 
-/** An exchange that is being answered, with what has to happen when its caller goes. */
+/** An exchange that is being answered, with the state that is needed when its caller disconnects. */
 struct caller_interface::open_exchange {
 	std::unique_ptr<http_exchange> exchange;
 	std::string customer;
 	std::string pipeline;
 	request_id id;
 	bool has_id = false;
-	resume_point told; ///< Stream the caller's resume token names.
+	resume_point announced_point; ///< Stream that the last resume token sent to the caller refers to.
 	std::function<void()> stop;
 };
 
@@ -100,13 +100,13 @@
 	_answer(r_exchange, write_problem(result, duration::zero(), p_detail, ""));
 }
 
-bool caller_interface::_has_sound_framing(http_exchange &r_exchange) {
+bool caller_interface::_has_valid_framing(http_exchange &r_exchange) {
 	const std::size_t lengths = r_exchange.count_header("Content-Length");
 	const bool is_ambiguous = lengths > 1 || (lengths == 1 && r_exchange.count_header("Transfer-Encoding") > 0);
 	if (!is_ambiguous) {
 		return true;
 	}
-	// Where the body ends is in doubt, so what follows on this connection cannot be trusted.
+	// The end of the body is ambiguous, so data that follows on this connection cannot be trusted.
 	const caller_answer answer = write_problem(outcome{ verdict::NOT_RUN, reason::BAD_REQUEST }, duration::zero(), "The length of the body is given twice.", "");
 	r_exchange.reply(answer.status, answer.content_type, answer.body, { { "Connection", "close" } });
 	return false;
@@ -121,7 +121,7 @@
 	const std::string hash = sha256_hex(header->substr(BEARER.size()));
 	const customer_settings *found = nullptr;
 	for (const customer_settings &customer : current->customers) {
-		// Every customer is compared, so that the time tells nothing of which one matched.
+		// Compares with every customer, so that the response time doesn't reveal which one matched.
 		if (equal_in_constant_time(hash, customer.key_sha256)) {
 			found = &customer;
 		}
@@ -131,7 +131,7 @@
 
 void caller_interface::_on_exchange(std::unique_ptr<http_exchange> p_exchange) {
 	http_exchange &exchange = *p_exchange;
-	if (!_has_sound_framing(exchange)) {
+	if (!_has_valid_framing(exchange)) {
 		return;
 	}
 	if (_configuration.get_fold().get_configuration() == nullptr) {
@@ -149,13 +149,13 @@
 	const bool is_request = path.starts_with(PIPELINES) && path.ends_with(REQUESTS) && path.size() > PIPELINES.size() + REQUESTS.size();
 	if (exchange.is_post() && is_request) {
 		const std::string pipeline = path.substr(PIPELINES.size(), path.size() - PIPELINES.size() - REQUESTS.size());
-		_take_request(std::move(p_exchange), name, pipeline);
+		_handle_request(std::move(p_exchange), name, pipeline);
 	} else if (exchange.is_post() && path == "/v1/tickets") {
-		_take_ticket(exchange, name);
+		_handle_ticket(exchange, name);
 	} else if (exchange.is_post() && path == "/v1/resume") {
-		_take_resume(std::move(p_exchange), name);
+		_handle_resume(std::move(p_exchange), name);
 	} else if (exchange.is_get() && path.starts_with(LOOKUP)) {
-		_take_lookup(exchange, name, path.substr(LOOKUP.size()));
+		_handle_lookup(exchange, name, path.substr(LOOKUP.size()));
 	} else {
 		_refuse(exchange, reason::NOT_FOUND, "There is nothing at this path for this method.");
 	}
@@ -174,8 +174,8 @@
 	}
 	const std::optional<std::string> key = r_exchange.find_header("Idempotency-Key");
 	if (key) {
-		const bool is_sound = parse_ticket(*key).has_value() || parse_claimed_key(*key).has_value();
-		if (!is_sound) {
+		const bool is_valid = parse_ticket(*key).has_value() || parse_claimed_key(*key).has_value();
+		if (!is_valid) {
 			_refuse(r_exchange, reason::KEY_MALFORMED, "An Idempotency-Key is a ticket, or \"<unix milliseconds>-<anything>\" of at most 128 bytes.");
 			return false;
 		}
@@ -201,7 +201,7 @@
 	return true;
 }
 
-void caller_interface::_take_request(std::unique_ptr<http_exchange> p_exchange, const std::string &p_customer, const std::string &p_pipeline) {
+void caller_interface::_handle_request(std::unique_ptr<http_exchange> p_exchange, const std::string &p_customer, const std::string &p_pipeline) {
 	door_request request;
 	request.customer = p_customer;
 	request.pipeline = p_pipeline;
@@ -213,9 +213,9 @@
 	open->customer = p_customer;
 	open->pipeline = p_pipeline;
 	open->exchange->set_on_disconnect([this, weak = std::weak_ptr<open_exchange>(open)] {
-		const std::shared_ptr<open_exchange> gone = weak.lock();
-		if (gone && gone->has_id) {
-			_requests.abandon(gone->id);
+		const std::shared_ptr<open_exchange> closed_exchange = weak.lock();
+		if (closed_exchange && closed_exchange->has_id) {
+			_requests.abandon(closed_exchange->id);
 		}
 	});
 	_door.submit(request, _make_hooks(open, request));
@@ -225,7 +225,7 @@
 	door_hooks hooks;
 	hooks.on_started = [this, p_open, has_key = !p_request.key.empty()](const request_id &p_id) {
 		p_open->id = p_id;
-		// A request under a key runs to its end though its caller has gone: the outcome is kept for the next submission.
+		// A request with a key runs to completion even if its caller has disconnected: the outcome is kept for the next submission.
 		p_open->has_id = !has_key;
 		if (p_open->exchange->is_gone() && p_open->has_id) {
 			_context.loop.post([this, p_id] { _requests.abandon(p_id); });
@@ -255,8 +255,8 @@
 		r_open.exchange->start_stream(200, "text/event-stream");
 	}
 	std::string text;
-	if (!(r_open.told == p_point)) {
-		r_open.told = p_point;
+	if (!(r_open.announced_point == p_point)) {
+		r_open.announced_point = p_point;
 		const unix_milliseconds lifetime = std::chrono::duration_cast<std::chrono::milliseconds>(RESUME_LIFETIME).count();
 		const std::string token = _resumes.write_token(resume_ticket{ r_open.customer, r_open.pipeline, p_point, event_loop::wall() + lifetime });
 		text += write_event("resume", json({ { "request_id", to_string(r_open.id) }, { "resume", token } }).dump());
@@ -270,7 +270,7 @@
 	r_open.exchange->end_stream();
 }
 
-void caller_interface::_take_ticket(http_exchange &r_exchange, const std::string &p_customer) {
+void caller_interface::_handle_ticket(http_exchange &r_exchange, const std::string &p_customer) {
 	if (!_door.is_ready()) {
 		_answer(r_exchange, write_problem(outcome{ verdict::NOT_RUN, reason::NOT_READY }, std::chrono::seconds(1), "", ""));
 		return;
@@ -279,10 +279,10 @@
 	_answer(r_exchange, caller_answer{ 200, "application/json", answer.dump() + "\n", duration::zero() });
 }
 
-void caller_interface::_take_resume(std::unique_ptr<http_exchange> p_exchange, const std::string &p_customer) {
+void caller_interface::_handle_resume(std::unique_ptr<http_exchange> p_exchange, const std::string &p_customer) {
 	const json body = parse_bounded(p_exchange->take_body());
-	const bool is_sound = body.is_object() && body.contains("resume") && body["resume"].is_string() && body.contains("next") && body["next"].is_number_unsigned();
-	if (!is_sound) {
+	const bool is_valid = body.is_object() && body.contains("resume") && body["resume"].is_string() && body.contains("next") && body["next"].is_number_unsigned();
+	if (!is_valid) {
 		_refuse(*p_exchange, reason::BAD_REQUEST, "The body must be {\"resume\": token, \"next\": sequence number}.");
 		return;
 	}
@@ -294,10 +294,10 @@
 	const std::shared_ptr<open_exchange> open = std::make_shared<open_exchange>();
 	open->exchange = std::move(p_exchange);
 	open->exchange->set_on_disconnect([weak = std::weak_ptr<open_exchange>(open)] {
-		const std::shared_ptr<open_exchange> gone = weak.lock();
-		if (gone && gone->stop) {
-			gone->stop();
-			gone->stop = nullptr;
+		const std::shared_ptr<open_exchange> closed_exchange = weak.lock();
+		if (closed_exchange && closed_exchange->stop) {
+			closed_exchange->stop();
+			closed_exchange->stop = nullptr;
 		}
 	});
 	resume_hooks hooks;
@@ -313,23 +313,23 @@
 		finish.result = p_end.result;
 		finish.token_count = p_end.token_count;
 		finish.digest = p_end.digest;
-		const bool is_whole = p_end.result.what == verdict::COMPLETED;
-		if (!is_whole && !open->exchange->is_streaming()) {
+		const bool is_complete = p_end.result.what == verdict::COMPLETED;
+		if (!is_complete && !open->exchange->is_streaming()) {
 			_answer(*open->exchange, write_end(stream.request, finish));
 			return;
 		}
 		if (!open->exchange->is_streaming()) {
 			open->exchange->start_stream(200, "text/event-stream");
 		}
-		_end_stream(*open, is_whole ? "done" : "error", is_whole ? write_done_event(stream.request, finish) : write_end(stream.request, finish).body);
+		_end_stream(*open, is_complete ? "done" : "error", is_complete ? write_done_event(stream.request, finish) : write_end(stream.request, finish).body);
 	};
-	open->stop = _resumes.begin(*ticket, body["next"].get<std::uint32_t>(), RESUME_WITHIN, hooks);
+	open->stop = _resumes.begin(*ticket, body["next"].get<std::uint32_t>(), RESUME_TIMEOUT, hooks);
 	if (!open->stop) {
 		_refuse(*open->exchange, reason::NOT_FOUND, "The endpoint of this stream is gone.");
 	}
 }
 
-void caller_interface::_take_lookup(http_exchange &r_exchange, const std::string &p_customer, const std::string &p_id) {
+void caller_interface::_handle_lookup(http_exchange &r_exchange, const std::string &p_customer, const std::string &p_id) {
 	const std::optional<request_id> id = parse_request_id(p_id);
 	const remembered_outcome *found = id ? _door.find_outcome(p_customer, *id) : nullptr;
 	if (found == nullptr) {
--- a/main/serve/caller_interface.h
+++ b/main/serve/caller_interface.h
@@ -34,12 +34,12 @@
 	void _refuse(http_exchange &r_exchange, reason p_reason, const std::string &p_detail);
 	void _answer(http_exchange &r_exchange, const caller_answer &p_answer);
 	const customer_settings *_authenticate(const http_exchange &p_exchange) const;
-	bool _has_sound_framing(http_exchange &r_exchange);
-	void _take_request(std::unique_ptr<http_exchange> p_exchange, const std::string &p_customer, const std::string &p_pipeline);
+	bool _has_valid_framing(http_exchange &r_exchange);
+	void _handle_request(std::unique_ptr<http_exchange> p_exchange, const std::string &p_customer, const std::string &p_pipeline);
 	bool _read_request(http_exchange &r_exchange, door_request &r_request);
-	void _take_ticket(http_exchange &r_exchange, const std::string &p_customer);
-	void _take_resume(std::unique_ptr<http_exchange> p_exchange, const std::string &p_customer);
-	void _take_lookup(http_exchange &r_exchange, const std::string &p_customer, const std::string &p_id);
+	void _handle_ticket(http_exchange &r_exchange, const std::string &p_customer);
+	void _handle_resume(std::unique_ptr<http_exchange> p_exchange, const std::string &p_customer);
+	void _handle_lookup(http_exchange &r_exchange, const std::string &p_customer, const std::string &p_id);
 	door_hooks _make_hooks(const std::shared_ptr<open_exchange> &p_open, const door_request &p_request);
 	void _send_token(open_exchange &r_open, std::uint32_t p_sequence, const std::string &p_token, const resume_point &p_point);
 	static void _end_stream(open_exchange &r_open, const std::string &p_name, const std::string &p_data);
@@ -49,7 +49,7 @@
 
 	const network_address &get_address() const { return _server.get_address(); }
 
-	/** Answers from now on close their connections, so that callers come back through the balancer. */
+	/** Makes all further answers close their connections, so that callers reconnect through the load balancer. */
 	void announce_close() { _closing = true; }
 
 	/** Stops accepting connections. */
