--- a/main/serve/node_settings.cpp
+++ b/main/serve/node_settings.cpp
@@ -19,7 +19,7 @@
 
 using json = nlohmann::json;
 
-/** Reads addresses and notes those that are none. */
+/** Reads addresses and records a problem for each that is invalid. */
 class address_reader {
 	std::vector<document_problem> &_problems;
 
@@ -27,7 +27,7 @@
 	explicit address_reader(std::vector<document_problem> &r_problems) :
 			_problems(r_problems) {}
 
-	network_address read(const json &p_value, const std::string &p_place, bool p_may_be_zero) const {
+	network_address read(const json &p_value, const std::string &p_path, bool p_may_be_zero) const {
 		const std::string text = p_value.get<std::string>();
 		const network_address address = parse_network_address(text);
 		in_addr parsed{};
@@ -35,7 +35,7 @@
 		const bool is_zero_port = address.port == 0 && text.ends_with(":0");
 		if (!is_host || (address.port == 0 && !(is_zero_port && p_may_be_zero))) {
 			const std::string expected = p_may_be_zero ? "an IPv4 address and a port, 0 for any" : "an IPv4 address and a port from 1 to 65535";
-			_problems.push_back(document_problem{ p_place, "\"" + text + "\"", expected });
+			_problems.push_back(document_problem{ p_path, "\"" + text + "\"", expected });
 		}
 		return address;
 	}
@@ -61,7 +61,7 @@
 	return drain;
 }
 
-void check_meaning(const node_settings &p_settings, std::vector<document_problem> &r_problems) {
+void check_consistency(const node_settings &p_settings, std::vector<document_problem> &r_problems) {
 	const duration idle = std::chrono::seconds(p_settings.limits.idle_seconds);
 	if (idle <= p_settings.limits.longest_deadline) {
 		const std::string found = std::to_string(p_settings.limits.idle_seconds) + " seconds";
@@ -107,7 +107,7 @@
 	settings.log_level = document.value("log_level", settings.log_level);
 	settings.random_seed = document.value("random_seed", settings.random_seed);
 	settings.allow_fault_injection = document.value("allow_fault_injection", settings.allow_fault_injection);
-	check_meaning(settings, problems);
+	check_consistency(settings, problems);
 	if (!problems.empty()) {
 		throw document_error(std::move(problems));
 	}
--- a/main/serve/node_settings.h
+++ b/main/serve/node_settings.h
@@ -18,14 +18,14 @@
 
 namespace calicoscale {
 
-/** Where the platform is. */
+/** Addresses and properties of the platform's services. */
 struct platform_settings {
 	network_address log;
 	network_address vm_list;
 	duration log_retention = std::chrono::hours(24);
 };
 
-/** Limits towards callers. */
+/** Limits that apply to callers. */
 struct caller_limits {
 	std::size_t header_bytes = 16 * 1024;
 	std::size_t body_bytes = 1024 * 1024;
@@ -35,10 +35,10 @@
 	std::size_t queued_requests = 1024; ///< Per pool.
 };
 
-/** How a planned stop goes. */
+/** Durations of a planned stop. */
 struct drain_settings {
-	duration listen = std::chrono::seconds(2); ///< Callers are still accepted so long, until the balancer has noticed.
-	duration longest = std::chrono::seconds(60); ///< What still runs then is cut off.
+	duration listen = std::chrono::seconds(2); ///< Time for which connections are still accepted, until the load balancer has noticed the stop.
+	duration longest = std::chrono::seconds(60); ///< Requests that still run after this time are cut off.
 };
 
 /** Settings of one node. */
@@ -51,19 +51,19 @@
 	network_address link_address;
 	std::string admin_key; ///< Empty leaves the admin interface open.
 	std::string fleet_key; ///< Shared by the nodes of one operator; authenticates links and resume tokens.
-	std::vector<network_address> peers; ///< Links to try before the platform's list is known.
+	std::vector<network_address> peers; ///< Link addresses to dial while this node has no links.
 	platform_settings platform;
 	caller_limits limits;
 	drain_settings drain;
 	std::size_t timeline_events = 20000;
 	std::string log_level = "info";
-	std::uint64_t random_seed = 0; ///< 0 draws one.
+	std::uint64_t random_seed = 0; ///< 0 selects a random seed.
 	bool allow_fault_injection = false; ///< Lets the admin interface cut links, for failure tests.
 };
 
 /**
  * Parses and checks settings.
- * @throws document_error with every mistake found.
+ * @throws document_error with every problem found.
  */
 node_settings parse_settings(std::string_view p_text);
 
