--- a/main/serve/timeline_recorder.h
+++ b/main/serve/timeline_recorder.h
@@ -21,13 +21,13 @@
 public:
 	explicit timeline_recorder(std::size_t p_capacity);
 
-	/** Records an event as of now. */
+	/** Records an event with the current time. A negative `p_elapsed` means that no duration is recorded. */
 	void add(event_kind p_kind, const std::string &p_request, const std::string &p_subject, const std::string &p_detail, duration p_elapsed = duration(-1));
 
-	/** Time to send along with a message. */
+	/** Advances the hybrid clock and returns the time to send with a message. */
 	hybrid_time stamp();
 
-	/** Takes in the time of a message received. */
+	/** Advances the hybrid clock past the time of a received message. */
 	void observe(const hybrid_time &p_time);
 
 	const event_ring &get_ring() const { return _ring; }
