--- a/main/serve/request_service.cpp
+++ b/main/serve/request_service.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: request_service.cpp
- * Carries requests through their stages: runs flows, gates and attempts.
+ * Runs requests through their stages: connects flows, pool gates and attempts.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -17,14 +17,17 @@
 
 namespace {
 
-constexpr duration SWEEP = std::chrono::milliseconds(50);
-constexpr int MOST_SETTLE_TRIES = 4;
-constexpr duration SETTLE_AGAIN_AFTER = std::chrono::milliseconds(1000);
-constexpr std::size_t MOST_SETTLEMENTS = 20000;
+constexpr duration SWEEP_INTERVAL = std::chrono::milliseconds(50);
+constexpr int MAX_SETTLE_TRIES = 4;
+constexpr duration SETTLE_RETRY_DELAY = std::chrono::milliseconds(1000);
+constexpr std::size_t MAX_OPEN_SETTLEMENTS = 20000;
 constexpr double MEDIAN = 0.5;
 constexpr double SLOW_QUANTILE = 0.95;
 constexpr double UNLOADED_QUANTILE = 0.2;
-/** With all weight on attainment only the nearly hopeless is refused, with all on cost what would likelier miss than not. */
+/**
+ * Quantiles of the stage times that the admission check adds up. With all weight on attainment, only requests that are
+ * almost certain to miss their deadline are refused; with all weight on cost, those that miss it more likely than not.
+ */
 constexpr double DOOR_QUANTILE_FOR_COST = 0.5;
 constexpr double DOOR_QUANTILE_FOR_ATTAINMENT = 0.05;
 constexpr double MICRO = 1e6;
@@ -41,7 +44,7 @@
 		_ledger(p_ledger),
 		_random(p_context.seed + 1),
 		_sweep_timer(p_context.loop, [this] { _sweep(); }) {
-	_sweep_timer.set(SWEEP);
+	_sweep_timer.set(SWEEP_INTERVAL);
 }
 
 pool_gate &request_service::_get_gate(const std::string &p_pool) {
@@ -133,7 +136,7 @@
 	request.wake = std::make_unique<timer>(
 			_context.loop, [this, &request] { _apply(request, request.flow->on_wake(event_loop::now())); }, timer_order::BEFORE_SOCKETS);
 	_running.emplace(id, std::move(made));
-	// Started from the loop, so that no hook runs inside begin().
+	// The flow starts from the loop, so that no hook runs inside begin().
 	_context.loop.post([this, id] {
 		const auto found = _running.find(id);
 		if (found != _running.end()) {
@@ -166,7 +169,7 @@
 	waiting.queued_at = event_loop::now();
 	const std::string &pool = plan.stages[p_action.stage].pool;
 	pool_gate &gate = _get_gate(pool);
-	_take_changes(pool, gate.enter(waiting, event_loop::now()));
+	_apply_gate_changes(pool, gate.enter(waiting, event_loop::now()));
 	if (gate.get_waiting() > 0) {
 		_context.timeline.add(event_kind::STAGE_QUEUED, to_string(plan.id), pool, std::to_string(gate.get_waiting()) + " waiting");
 	}
@@ -175,7 +178,7 @@
 void request_service::_do(running_request &r_request, const release_slot &p_action) {
 	const request_plan &plan = r_request.flow->get_plan();
 	const std::string &pool = plan.stages[p_action.stage].pool;
-	_take_changes(pool, _get_gate(pool).leave(p_action.use, p_action.held, p_action.relative_latency, event_loop::now()));
+	_apply_gate_changes(pool, _get_gate(pool).leave(p_action.use, p_action.held, p_action.relative_latency, event_loop::now()));
 }
 
 void request_service::_do(running_request &r_request, const cancel_slot_request &p_action) {
@@ -183,30 +186,30 @@
 	_get_gate(plan.stages[p_action.stage].pool).abandon(plan.id);
 }
 
-void request_service::_take_changes(const std::string &p_pool, const gate_changes &p_changes) {
-	// Told from the loop: the flows concerned may be in the middle of handing out their own actions.
+void request_service::_apply_gate_changes(const std::string &p_pool, const gate_changes &p_changes) {
+	// The changes are reported from the loop, because the flows concerned may still be returning their own actions.
 	for (const request_id &id : p_changes.admitted) {
-		_context.loop.post([this, p_pool, id] { _give_place(p_pool, id); });
+		_context.loop.post([this, p_pool, id] { _grant_slot(p_pool, id); });
 	}
 	for (const dropped_request &dropped : p_changes.expired) {
-		_context.loop.post([this, id = dropped.id] { _deny_place(id, reason::DEADLINE_UNREACHABLE); });
+		_context.loop.post([this, id = dropped.id] { _deny_slot(id, reason::DEADLINE_UNREACHABLE); });
 	}
 	for (const dropped_request &dropped : p_changes.evicted_requests) {
-		_context.loop.post([this, id = dropped.id] { _deny_place(id, reason::QUEUE_FULL); });
+		_context.loop.post([this, id = dropped.id] { _deny_slot(id, reason::QUEUE_FULL); });
 	}
 }
 
-void request_service::_give_place(const std::string &p_pool, const request_id &p_id) {
+void request_service::_grant_slot(const std::string &p_pool, const request_id &p_id) {
 	const auto found = _running.find(p_id);
 	if (found == _running.end() || found->second->flow->is_finished()) {
-		// It gave up in between; the place goes back unused.
-		_take_changes(p_pool, _get_gate(p_pool).leave(slot_outcome::FAILED, duration::zero(), 1.0, event_loop::now()));
+		// The request ended in the meantime; its slot is released unused.
+		_apply_gate_changes(p_pool, _get_gate(p_pool).leave(slot_outcome::FAILED, duration::zero(), 1.0, event_loop::now()));
 		return;
 	}
 	_apply(*found->second, found->second->flow->on_slot_granted(event_loop::now()));
 }
 
-void request_service::_deny_place(const request_id &p_id, reason p_reason) {
+void request_service::_deny_slot(const request_id &p_id, reason p_reason) {
 	const auto found = _running.find(p_id);
 	if (found != _running.end()) {
 		_apply(*found->second, found->second->flow->on_slot_denied(p_reason, event_loop::now()));
@@ -336,7 +339,7 @@
 	const open_call call = found->second;
 	r_request.calls.erase(found);
 	_context.endpoints.cancel(call.call);
-	// The flow cancels for RETRIED when the attempt took too long, which is the endpoint's fault.
+	// The flow cancels with RETRIED when the attempt took too long, which counts as a fault of the endpoint.
 	const bool is_fault = p_action.use == cost_use::RETRIED || p_action.use == cost_use::FAILED;
 	_observe(r_request, call, outcome{ verdict::MAY_HAVE_RUN, is_fault ? reason::TIMED_OUT : reason::CANCELLED });
 	if (call.address.port != 0) {
@@ -385,25 +388,25 @@
 }
 
 void request_service::_settle(const network_address &p_address, const attempt_id &p_id, const cost_key &p_key) {
-	if (_settlements.size() >= MOST_SETTLEMENTS) {
+	if (_settlements.size() >= MAX_OPEN_SETTLEMENTS) {
 		_context.metrics.count("cost_unknown");
 		return;
 	}
 	const std::uint64_t number = _next_settlement++;
 	_settlements.emplace(number, open_settlement{ p_address, p_id, p_key, 0, false });
-	_ask_settlement(number);
+	_request_settlement(number);
 }
 
-void request_service::_ask_settlement(std::uint64_t p_number) {
+void request_service::_request_settlement(std::uint64_t p_number) {
 	open_settlement &open = _settlements.at(p_number);
 	open.tries++;
-	open.is_asking = true;
+	open.is_requesting = true;
 	_context.endpoints.settle(open.address, open.id, [this, p_number](const settled_cost &p_cost) {
 		const auto found = _settlements.find(p_number);
 		if (found == _settlements.end()) {
 			return;
 		}
-		found->second.is_asking = false;
+		found->second.is_requesting = false;
 		if (p_cost.known) {
 			if (p_cost.units > 0.0) {
 				book(found->second.key, p_cost.units);
@@ -411,20 +414,20 @@
 			_settlements.erase(found);
 			return;
 		}
-		if (found->second.tries >= MOST_SETTLE_TRIES) {
+		if (found->second.tries >= MAX_SETTLE_TRIES) {
 			_context.metrics.count("cost_unknown");
 			_settlements.erase(found);
 			return;
 		}
 		auto again = std::make_shared<std::unique_ptr<timer>>();
 		*again = std::make_unique<timer>(_context.loop, [this, p_number, again] {
-			// Freed from the loop, as the timer must not destroy itself inside its own hook.
+			// The timer is freed from the loop, because it must not destroy itself inside its own hook.
 			_context.loop.post([again] { again->reset(); });
 			if (_settlements.contains(p_number)) {
-				_ask_settlement(p_number);
+				_request_settlement(p_number);
 			}
 		});
-		(*again)->set(SETTLE_AGAIN_AFTER);
+		(*again)->set(SETTLE_RETRY_DELAY);
 	});
 }
 
@@ -444,7 +447,7 @@
 	_drops.late_answers += drops.late_answers;
 	_drops.repeated_tokens += drops.repeated_tokens;
 	_drops.token_gaps += drops.token_gaps;
-	// Freed from the loop: the flow is still on the stack here.
+	// The request is freed from the loop, because its flow is still on the stack here.
 	const request_id id = plan.id;
 	std::shared_ptr<running_request> finished = std::move(_running.at(id));
 	_running.erase(id);
@@ -458,9 +461,9 @@
 void request_service::_sweep() {
 	const instant now = event_loop::now();
 	for (auto &[pool, gate] : _gates) {
-		_take_changes(pool, gate.expire(now));
+		_apply_gate_changes(pool, gate.expire(now));
 	}
-	_sweep_timer.set(SWEEP);
+	_sweep_timer.set(SWEEP_INTERVAL);
 }
 
 } // namespace calicoscale
--- a/main/serve/request_service.h
+++ b/main/serve/request_service.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: request_service.h
- * Carries requests through their stages: runs flows, gates and attempts.
+ * Runs requests through their stages: connects flows, pool gates and attempts.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -23,22 +23,22 @@
 
 namespace calicoscale {
 
-/** Where a stream can be picked up by another node. */
+/** Position from which another node can resume a stream. */
 struct resume_point {
-	std::string vm; ///< Endpoint.
-	attempt_id stream; ///< Attempt that the endpoint knows the stream by.
+	std::string vm; ///< VM of the endpoint that runs the stream.
+	attempt_id stream; ///< Attempt under which the endpoint registers the stream.
 	std::string stage;
 	std::string pool;
 	bool operator==(const resume_point &p_other) const = default;
 };
 
-/** What a request reports. */
+/** Callbacks of a running request. */
 struct request_hooks {
 	std::function<void(std::uint32_t p_sequence, const std::string &p_token, const resume_point &p_point)> on_token;
-	std::function<void(const request_id &p_id, const finish_request &p_finish)> on_finish; ///< Exactly once, never inside begin().
+	std::function<void(const request_id &p_id, const finish_request &p_finish)> on_finish; ///< Called exactly once, never inside begin().
 };
 
-/** Answer at the door. */
+/** Result of the admission check of a request. */
 struct door_answer {
 	bool admitted = false;
 	reason why = reason::NONE;
@@ -67,13 +67,13 @@
 		instant started{};
 	};
 
-	/** The cost of an attempt that still has to be asked for. */
+	/** Attempt whose cost still has to be requested from its endpoint. */
 	struct open_settlement {
 		network_address address;
 		attempt_id id;
 		cost_key key;
 		int tries = 0;
-		bool is_asking = false;
+		bool is_requesting = false;
 	};
 
 	node_context &_context;
@@ -107,39 +107,39 @@
 	void _do(running_request &r_request, const wake_at &p_action);
 	void _do(running_request &r_request, const finish_request &p_action);
 	attempt_order _make_order(const running_request &p_request, const start_attempt &p_action, const endpoint_state &p_endpoint) const;
-	void _take_changes(const std::string &p_pool, const gate_changes &p_changes);
-	void _give_place(const std::string &p_pool, const request_id &p_id);
-	void _deny_place(const request_id &p_id, reason p_reason);
+	void _apply_gate_changes(const std::string &p_pool, const gate_changes &p_changes);
+	void _grant_slot(const std::string &p_pool, const request_id &p_id);
+	void _deny_slot(const request_id &p_id, reason p_reason);
 	void _on_attempt_end(const request_id &p_request, const attempt_id &p_attempt, const attempt_end &p_end);
 	void _on_token(const request_id &p_request, const attempt_id &p_attempt, std::uint32_t p_offset, const std::string &p_token);
 	void _observe(const running_request &p_request, const open_call &p_call, const outcome &p_result);
 	cost_key _make_key(const request_plan &p_plan, std::size_t p_stage, cost_use p_use) const;
 	void _settle(const network_address &p_address, const attempt_id &p_id, const cost_key &p_key);
-	void _ask_settlement(std::uint64_t p_number);
+	void _request_settlement(std::uint64_t p_number);
 	void _sweep();
 
 public:
 	request_service(node_context &p_context, configuration_service &p_configuration, router &p_router, fleet_service &p_fleet, ledger_service &p_ledger);
 
-	/** Puts the shares of extra work of a new configuration in force. */
+	/** Applies the retry and hedge shares of the current configuration to all pool gates. */
 	void on_configuration();
 
-	/** Whether a planned request would likely make its deadline; asked before anything is promised. */
+	/** Returns whether a planned request is likely to meet its deadline. Called before the request is accepted. */
 	door_answer check_door(const request_plan &p_plan);
 
-	/** A new request id. */
+	/** Returns a new request id, unique within this incarnation of the node. */
 	request_id make_id();
 
-	/** Runs a planned request. */
+	/** Starts a planned request from the event loop, after this call has returned. */
 	void begin(request_plan p_plan, request_hooks p_hooks);
 
-	/** The caller has gone. */
+	/** Reports to the flow of the request that its caller has disconnected. */
 	void abandon(const request_id &p_id);
 
-	/** Books costs for work done outside a flow, as when a stream is resumed here. */
+	/** Books the cost of `p_units` units of work, also of work outside a flow, such as a stream that is resumed on this node. */
 	void book(const cost_key &p_key, double p_units);
 
-	/** Asks an endpoint to stop an attempt and books what it cost. */
+	/** Requests that an endpoint stop an attempt and report its cost, and books that cost. */
 	void settle(const network_address &p_address, const attempt_id &p_id, const cost_key &p_key) { _settle(p_address, p_id, p_key); }
 
 	bool is_running(const request_id &p_id) const { return _running.contains(p_id); }
