--- a/main/serve/request_door.cpp
+++ b/main/serve/request_door.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: request_door.cpp
- * The door every request comes through: checks, limits, keys, then the run.
+ * Entry point of all requests: checks, limits and idempotency keys, then the run.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -14,8 +14,8 @@
 
 namespace {
 
-constexpr std::size_t MOST_OUTCOMES = 20000;
-constexpr duration COME_BACK = std::chrono::seconds(1);
+constexpr std::size_t MAX_REMEMBERED_OUTCOMES = 20000;
+constexpr duration RETRY_DELAY = std::chrono::seconds(1);
 constexpr duration NO_RETRY = duration::zero();
 
 } // namespace
@@ -35,12 +35,12 @@
 }
 
 void request_door::_remember(const request_id &p_id, const remembered_outcome &p_outcome) {
-	const auto [place, is_new] = _outcomes.insert_or_assign(p_id, p_outcome);
+	const auto [position, is_new] = _outcomes.insert_or_assign(p_id, p_outcome);
 	if (!is_new) {
 		return;
 	}
 	_outcome_order.push_back(p_id);
-	if (_outcome_order.size() > MOST_OUTCOMES) {
+	if (_outcome_order.size() > MAX_REMEMBERED_OUTCOMES) {
 		_outcomes.erase(_outcome_order.front());
 		_outcome_order.pop_front();
 	}
@@ -60,7 +60,7 @@
 void request_door::submit(const door_request &p_request, const door_hooks &p_hooks) {
 	if (!is_ready()) {
 		const reason why = _accepting ? reason::NOT_READY : reason::DRAINING;
-		_refuse(outcome{ verdict::NOT_RUN, why }, COME_BACK, "", p_hooks);
+		_refuse(outcome{ verdict::NOT_RUN, why }, RETRY_DELAY, "", p_hooks);
 		return;
 	}
 	const configuration &current = *_configuration.get_fold().get_configuration();
@@ -78,12 +78,12 @@
 		return;
 	}
 	if (_open >= _context.settings.limits.open_requests) {
-		_refuse(outcome{ verdict::NOT_RUN, reason::QUEUE_FULL }, COME_BACK, "", p_hooks);
+		_refuse(outcome{ verdict::NOT_RUN, reason::QUEUE_FULL }, RETRY_DELAY, "", p_hooks);
 		return;
 	}
 	const duration wanted = p_request.deadline > duration::zero() ? p_request.deadline : pipeline->default_deadline;
 	const instant deadline = event_loop::now() + std::min(wanted, _context.settings.limits.longest_deadline);
-	if (!_pass_limits(p_request, p_hooks)) {
+	if (!_check_limits(p_request, p_hooks)) {
 		return;
 	}
 	_open++;
@@ -107,7 +107,7 @@
 	}
 }
 
-bool request_door::_pass_limits(const door_request &p_request, const door_hooks &p_hooks) {
+bool request_door::_check_limits(const door_request &p_request, const door_hooks &p_hooks) {
 	if (p_request.passed) {
 		return true;
 	}
@@ -140,8 +140,8 @@
 		return;
 	}
 	_context.metrics.on_request(p_request.pipeline, p_decision.refusal, duration::zero());
-	const duration come_back = p_decision.refusal.what == verdict::NOT_RUN && get_http_status(p_decision.refusal.why) == 503 ? COME_BACK : NO_RETRY;
-	p_hooks.on_answer(write_problem(p_decision.refusal, come_back, "", ""));
+	const duration retry_after = p_decision.refusal.what == verdict::NOT_RUN && get_http_status(p_decision.refusal.why) == 503 ? RETRY_DELAY : NO_RETRY;
+	p_hooks.on_answer(write_problem(p_decision.refusal, retry_after, "", ""));
 }
 
 void request_door::_run(const door_request &p_request, instant p_deadline, const door_hooks &p_hooks) {
@@ -155,17 +155,17 @@
 	facts.stream = p_request.stream;
 	const bool is_known = current.find_customer(facts.customer) != nullptr && current.find_pipeline(facts.pipeline) != nullptr;
 	if (!is_known) {
-		// A new configuration came while the key was being claimed.
+		// The configuration changed while the key was being claimed.
 		const caller_answer answer = write_problem(outcome{ verdict::NOT_RUN, reason::NOT_FOUND }, NO_RETRY, "", "");
 		_answer_keyed(p_request, verdict::NOT_RUN, answer);
 		p_hooks.on_answer(answer);
 		return;
 	}
 	request_plan plan = make_plan(current, _configuration.get_fold().get_version(), facts);
-	const door_answer door = _requests.check_door(plan);
-	if (!door.admitted) {
-		const outcome refusal{ verdict::NOT_RUN, door.why };
-		const caller_answer answer = write_problem(refusal, door.retry_after, "", "");
+	const door_answer admission = _requests.check_door(plan);
+	if (!admission.admitted) {
+		const outcome refusal{ verdict::NOT_RUN, admission.why };
+		const caller_answer answer = write_problem(refusal, admission.retry_after, "", "");
 		_context.metrics.on_request(p_request.pipeline, refusal, duration::zero());
 		_answer_keyed(p_request, verdict::NOT_RUN, answer);
 		p_hooks.on_answer(answer);
--- a/main/serve/request_door.h
+++ b/main/serve/request_door.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: request_door.h
- * The door every request comes through: checks, limits, keys, then the run.
+ * Entry point of all requests: checks, limits and idempotency keys, then the run.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -20,33 +20,33 @@
 
 namespace calicoscale {
 
-/** A request as it came in, from a caller or passed on by a node. */
+/** Request as received from a caller or passed on by another node. */
 struct door_request {
 	std::string customer;
 	std::string pipeline;
-	std::string key; ///< Empty for none.
+	std::string key; ///< Idempotency key; empty for none.
 	std::string input; ///< JSON text.
-	duration deadline = duration::zero(); ///< Zero takes the pipeline's.
+	duration deadline = duration::zero(); ///< Time limit; zero selects the default of the pipeline.
 	bool stream = false;
-	bool passed = false; ///< From another node, which has applied the customer's limits.
+	bool passed = false; ///< Received from another node, which has already applied the limits of the customer.
 };
 
-/** What the door reports. */
+/** Callbacks of a submitted request. */
 struct door_hooks {
-	std::function<void(const request_id &p_id)> on_started; ///< The request was given an id and runs.
+	std::function<void(const request_id &p_id)> on_started; ///< The request has an id and is about to run.
 	std::function<void(std::uint32_t p_sequence, const std::string &p_token, const resume_point &p_point)> on_token;
-	std::function<void(const request_id &p_id, const finish_request &p_finish)> on_streamed; ///< A stream's end, instead of on_answer once tokens came.
-	std::function<void(const caller_answer &p_answer)> on_answer; ///< The whole answer; the last call.
+	std::function<void(const request_id &p_id, const finish_request &p_finish)> on_streamed; ///< End of a stream; replaces on_answer when tokens were sent or the stream completed.
+	std::function<void(const caller_answer &p_answer)> on_answer; ///< The complete answer; the last call.
 };
 
-/** Outcome of a request as later asked for. */
+/** Outcome of a request, stored for later queries. */
 struct remembered_outcome {
 	std::string customer;
 	outcome result;
 	bool running = false;
 };
 
-/** Decides at the door and keeps outcomes for a while. */
+/** Accepts or refuses requests and stores the outcomes of the most recent ones. */
 class request_door {
 	node_context &_context;
 	configuration_service &_configuration;
@@ -61,7 +61,7 @@
 
 	void _remember(const request_id &p_id, const remembered_outcome &p_outcome);
 	void _refuse(const outcome &p_result, duration p_retry_after, const std::string &p_detail, const door_hooks &p_hooks);
-	bool _pass_limits(const door_request &p_request, const door_hooks &p_hooks);
+	bool _check_limits(const door_request &p_request, const door_hooks &p_hooks);
 	void _submit_keyed(const door_request &p_request, instant p_deadline, const door_hooks &p_hooks);
 	void _on_decision(const door_request &p_request, instant p_deadline, const door_hooks &p_hooks, const keyed_decision &p_decision);
 	void _run(const door_request &p_request, instant p_deadline, const door_hooks &p_hooks);
@@ -72,19 +72,19 @@
 public:
 	request_door(node_context &p_context, configuration_service &p_configuration, customer_limiter &p_limiter, request_service &p_requests, once_service &p_once, fleet_service &p_fleet);
 
-	/** Takes a request of an authenticated customer. */
+	/** Submits a request of an authenticated customer. */
 	void submit(const door_request &p_request, const door_hooks &p_hooks);
 
-	/** Whether the node can run requests now. */
+	/** Returns whether the node accepts requests, has a configuration and knows the list of VMs. */
 	bool is_ready() const;
 
-	/** No new requests from now on. */
+	/** Refuses all further requests. */
 	void stop_accepting() { _accepting = false; }
 
-	/** Outcome of a customer's request; nullptr when it is not known here or is another customer's. */
+	/** Returns the outcome of a request; nullptr when this node has none or the request belongs to another customer. */
 	const remembered_outcome *find_outcome(const std::string &p_customer, const request_id &p_id) const;
 
-	/** Requests between the door and their answer. */
+	/** Returns the number of accepted requests that are not answered yet. */
 	int get_open_count() const { return _open; }
 };
 
