--- a/main/serve/resume_service.cpp
+++ b/main/serve/resume_service.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: resume_service.cpp
- * Picks up a stream whose entry node is gone.
+ * Resumes a stream on another entry node after the first one has failed.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -107,7 +107,7 @@
 	const std::shared_ptr<std::uint32_t> next = std::make_shared<std::uint32_t>(p_next);
 	attempt_hooks hooks;
 	hooks.on_token = [p_hooks, next](std::uint32_t p_offset, const std::string &p_token) {
-		// Anything but the next token would be a repeat or a gap; the digest at the end tells the caller of a gap.
+		// Any other token than the next one is a repeat or follows a gap; the digest at the end lets the caller detect a gap.
 		if (p_offset == *next) {
 			(*next)++;
 			p_hooks.on_token(p_offset, p_token);
--- a/main/serve/resume_service.h
+++ b/main/serve/resume_service.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: resume_service.h
- * Picks up a stream whose entry node is gone.
+ * Resumes a stream on another entry node after the first one has failed.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -17,7 +17,7 @@
 
 namespace calicoscale {
 
-/** What a resume token says. */
+/** Contents of a resume token. */
 struct resume_ticket {
 	std::string customer;
 	std::string pipeline;
@@ -25,15 +25,15 @@
 	unix_milliseconds expires_at = 0;
 };
 
-/** What a resumed stream reports. */
+/** Callbacks of a resumed stream. */
 struct resume_hooks {
 	std::function<void(std::uint32_t p_sequence, const std::string &p_token)> on_token;
-	std::function<void(const attempt_end &p_end)> on_end; ///< With count and digest over the whole answer when complete.
+	std::function<void(const attempt_end &p_end)> on_end; ///< When complete, with the token count and digest of the complete answer.
 };
 
 /**
- * The token a caller holds names endpoint, stream, customer and expiry, authenticated with the fleet key, so that any
- * node of the operator can pick the stream up and no other customer can.
+ * Resumes streams by tokens that callers store. A token names endpoint, stream, customer and expiry and is authenticated
+ * with the fleet key, so that any node of the operator can resume the stream and no other customer can.
  */
 class resume_service {
 	node_context &_context;
@@ -45,13 +45,13 @@
 public:
 	resume_service(node_context &p_context, router &p_router, request_service &p_requests);
 
-	/** Writes the token for a stream. */
+	/** Returns the authenticated token for a stream. */
 	std::string write_token(const resume_ticket &p_ticket) const;
 
-	/** Reads a token; empty when it is not authentic, expired or another customer's. */
+	/** Parses a token; returns nothing when it is not authentic, has expired or belongs to another customer. */
 	std::optional<resume_ticket> read_token(const std::string &p_token, const std::string &p_customer) const;
 
-	/** Goes on with a stream at an offset; the returned function stops it. Empty when its endpoint is not known. */
+	/** Continues a stream at token offset `p_next`. Returns a function that stops it, or an empty one when its endpoint is unknown. */
 	std::function<void()> begin(const resume_ticket &p_ticket, std::uint32_t p_next, duration p_within, const resume_hooks &p_hooks);
 };
 
