--- a/main/serve/once_service.cpp
+++ b/main/serve/once_service.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: once_service.cpp
- * At-most-once submissions: tickets, claims on the log, passing on to the owner of a key.
+ * At-most-once submissions: tickets, claims on the log, forwarding to the owner of a key.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -20,19 +20,19 @@
 namespace {
 
 constexpr int SECRET_BYTES = 32;
-constexpr std::size_t MOST_TICKETS = 100000;
-constexpr std::size_t MOST_CLAIMS = 400000;
+constexpr std::size_t MAX_TICKETS = 100000;
+constexpr std::size_t MAX_CLAIMS = 400000;
 constexpr duration KEY_AGE = std::chrono::minutes(10);
-/** Claims that come within this time share one append. */
+/** Claims that arrive within this time share one append. */
 constexpr duration APPEND_DELAY = std::chrono::milliseconds(10);
 constexpr duration APPEND_TIMEOUT = std::chrono::seconds(2);
-constexpr duration READ_WHILE_WAITING = std::chrono::milliseconds(10);
-constexpr duration READ_IDLE = std::chrono::seconds(1);
+constexpr duration READ_INTERVAL_WHILE_WAITING = std::chrono::milliseconds(10);
+constexpr duration READ_INTERVAL_IDLE = std::chrono::seconds(1);
 constexpr std::size_t RECORDS_PER_READ = 500;
-constexpr duration SWEEP = std::chrono::milliseconds(25);
+constexpr duration SWEEP_INTERVAL = std::chrono::milliseconds(25);
 constexpr std::uint64_t SWEEPS_PER_EXPIRY = 400;
-/** A submission waits this long for a link to the key's owner. */
-constexpr duration LONGEST_WAIT_FOR_LINK = std::chrono::seconds(1);
+/** Time that a submission waits at most for a link to the owner of its key. */
+constexpr duration MAX_WAIT_FOR_LINK = std::chrono::seconds(1);
 
 std::string make_secret() {
 	std::array<unsigned char, SECRET_BYTES> bytes{};
@@ -51,8 +51,8 @@
 once_service::once_service(node_context &p_context, fleet_service &p_fleet) :
 		_context(p_context),
 		_fleet(p_fleet),
-		_tickets(p_context.settings.vm, p_context.incarnation, make_secret(), MOST_TICKETS),
-		_claims(p_context.settings.vm, p_context.incarnation, KEY_AGE, MOST_CLAIMS),
+		_tickets(p_context.settings.vm, p_context.incarnation, make_secret(), MAX_TICKETS),
+		_claims(p_context.settings.vm, p_context.incarnation, KEY_AGE, MAX_CLAIMS),
 		_append_timer(p_context.loop, [this] { _append(); }),
 		_read_timer(p_context.loop, [this] { _read(); }),
 		_sweep_timer(p_context.loop, [this] { _sweep(); }) {
@@ -63,10 +63,10 @@
 
 void once_service::start() {
 	_read();
-	_sweep_timer.set(SWEEP);
+	_sweep_timer.set(SWEEP_INTERVAL);
 }
 
-std::string once_service::_make_place(const std::string &p_customer, const std::string &p_key) {
+std::string once_service::_make_submission_key(const std::string &p_customer, const std::string &p_key) {
 	return p_customer + "\n" + p_key;
 }
 
@@ -88,18 +88,18 @@
 }
 
 void once_service::_decide(const keyed_submission &p_submission, const once_answer &p_answer, std::uint64_t p_claim, decision_hook p_hook) {
-	const std::string place = _make_place(p_submission.customer, p_submission.key);
+	const std::string submission_key = _make_submission_key(p_submission.customer, p_submission.key);
 	keyed_decision decision;
 	switch (p_answer.step) {
 		case once_step::RUN:
 			if (p_claim != 0) {
-				_running_claims[place] = p_claim;
+				_running_claims[submission_key] = p_claim;
 			}
 			decision.run = true;
 			p_hook(decision);
 			return;
 		case once_step::WAIT:
-			_attached[place].push_back(attached_submission{ p_submission, std::move(p_hook) });
+			_attached[submission_key].push_back(attached_submission{ p_submission, std::move(p_hook) });
 			return;
 		case once_step::REPLAY:
 			decision.answer = p_answer.kept;
@@ -150,7 +150,7 @@
 		return;
 	}
 	if (_platform_cut) {
-		_read_timer.set(READ_IDLE);
+		_read_timer.set(READ_INTERVAL_IDLE);
 		return;
 	}
 	_is_reading = true;
@@ -167,7 +167,7 @@
 			has_more = next < p_read->next && !p_read->entries.empty();
 			_on_settled(_claims.take_read(p_read->earliest, batches, next, !has_more, event_loop::wall()));
 		}
-		_read_timer.set(has_more ? duration::zero() : (_claims.is_waiting() ? READ_WHILE_WAITING : READ_IDLE));
+		_read_timer.set(has_more ? duration::zero() : (_claims.is_waiting() ? READ_INTERVAL_WHILE_WAITING : READ_INTERVAL_IDLE));
 	});
 }
 
@@ -182,13 +182,13 @@
 		_context.timeline.add(event_kind::CLAIM_SETTLED, "", waiting.submission.customer, settled.answer.step == once_step::RUN ? "won" : "not won");
 		_decide(waiting.submission, settled.answer, settled.claim, waiting.hook);
 		if (settled.answer.step != once_step::RUN) {
-			_submit_attached_again(_make_place(waiting.submission.customer, waiting.submission.key));
+			_submit_attached_again(_make_submission_key(waiting.submission.customer, waiting.submission.key));
 		}
 	}
 }
 
-std::vector<once_service::attached_submission> once_service::_take_attached(const std::string &p_place) {
-	const auto attached = _attached.find(p_place);
+std::vector<once_service::attached_submission> once_service::_take_attached(const std::string &p_submission_key) {
+	const auto attached = _attached.find(p_submission_key);
 	if (attached == _attached.end()) {
 		return {};
 	}
@@ -197,14 +197,14 @@
 	return entries;
 }
 
-void once_service::_submit_attached_again(const std::string &p_place) {
-	for (const attached_submission &entry : _take_attached(p_place)) {
+void once_service::_submit_attached_again(const std::string &p_submission_key) {
+	for (const attached_submission &entry : _take_attached(p_submission_key)) {
 		submit(entry.submission, entry.hook);
 	}
 }
 
-void once_service::_release_attached(const std::string &p_place, const keyed_decision &p_decision) {
-	for (const attached_submission &entry : _take_attached(p_place)) {
+void once_service::_release_attached(const std::string &p_submission_key, const keyed_decision &p_decision) {
+	for (const attached_submission &entry : _take_attached(p_submission_key)) {
 		entry.hook(p_decision);
 	}
 }
@@ -212,13 +212,13 @@
 void once_service::on_ended(const std::string &p_customer, const std::string &p_key, verdict p_verdict, const kept_outcome &p_outcome) {
 	const bool may_have_run = p_verdict != verdict::NOT_RUN;
 	const std::optional<ticket_key> ticket = parse_ticket(p_key);
-	const std::string place = _make_place(p_customer, p_key);
+	const std::string submission_key = _make_submission_key(p_customer, p_key);
 	if (ticket && may_have_run) {
 		_tickets.on_done(*ticket, p_outcome);
 	} else if (ticket) {
 		_tickets.on_not_run(*ticket);
 	} else {
-		const auto claim = _running_claims.find(place);
+		const auto claim = _running_claims.find(submission_key);
 		if (claim != _running_claims.end()) {
 			_claims.on_done(claim->second, may_have_run, p_outcome);
 			_running_claims.erase(claim);
@@ -226,7 +226,7 @@
 	}
 	keyed_decision decision;
 	decision.answer = p_outcome;
-	_release_attached(place, decision);
+	_release_attached(submission_key, decision);
 }
 
 void once_service::_pass_on(const keyed_submission &p_submission, const once_answer &p_answer, decision_hook p_hook) {
@@ -243,7 +243,7 @@
 	passed.message.key = p_submission.key;
 	passed.message.input = p_submission.input;
 	passed.answer_by = p_submission.deadline;
-	passed.link_by = std::min(p_submission.deadline, event_loop::now() + LONGEST_WAIT_FOR_LINK);
+	passed.link_by = std::min(p_submission.deadline, event_loop::now() + MAX_WAIT_FOR_LINK);
 	passed.hook = std::move(p_hook);
 	_passed.emplace(_next_pass, std::move(passed));
 	_send_passed(_next_pass++);
@@ -253,12 +253,12 @@
 	passed_submission &passed = _passed.at(p_id);
 	const member *owner = _fleet.get_members().find(passed.owner);
 	if (owner == nullptr) {
-		// It may be that this node has just started and does not know the fleet yet.
+		// This node may have just started and not know the fleet yet; the sweep tries again.
 		return;
 	}
 	const bool is_responsive = owner->digest.heartbeat > 0;
 	if (is_responsive && owner->digest.incarnation != passed.owner_incarnation) {
-		// An earlier submission may have run there, so nobody can say that the request did not run.
+		// An earlier submission may have run on the previous incarnation of the owner, so NOT_RUN cannot be guaranteed.
 		_end_passed(p_id, refuse(verdict::MAY_HAVE_RUN, reason::ISSUER_GONE));
 		return;
 	}
@@ -284,13 +284,13 @@
 }
 
 void once_service::_on_link_down(const std::string &p_vm) {
-	std::vector<std::uint64_t> lost;
+	std::vector<std::uint64_t> unanswered;
 	for (const auto &[id, passed] : _passed) {
 		if (passed.owner == p_vm && passed.sent) {
-			lost.push_back(id);
+			unanswered.push_back(id);
 		}
 	}
-	for (const std::uint64_t id : lost) {
+	for (const std::uint64_t id : unanswered) {
 		_end_passed(id, refuse(verdict::MAY_HAVE_RUN, reason::ISSUER_GONE));
 	}
 }
@@ -324,7 +324,7 @@
 		_claims.give_up(claim);
 		const keyed_decision refusal = refuse(verdict::NOT_RUN, reason::CLAIM_UNAVAILABLE);
 		waiting.hook(refusal);
-		_release_attached(_make_place(waiting.submission.customer, waiting.submission.key), refusal);
+		_release_attached(_make_submission_key(waiting.submission.customer, waiting.submission.key), refusal);
 	}
 }
 
@@ -347,7 +347,7 @@
 }
 
 void once_service::_give_up_attached(instant p_now) {
-	for (auto &[place, attached] : _attached) {
+	for (auto &[submission_key, attached] : _attached) {
 		for (const attached_submission &entry : attached) {
 			if (p_now >= entry.submission.deadline) {
 				entry.hook(refuse(verdict::MAY_HAVE_RUN, reason::KEY_IN_USE));
@@ -367,7 +367,7 @@
 		_tickets.expire(event_loop::wall());
 		_claims.expire(event_loop::wall());
 	}
-	_sweep_timer.set(SWEEP);
+	_sweep_timer.set(SWEEP_INTERVAL);
 }
 
 } // namespace calicoscale
