--- a/main/serve/answer_writer.cpp
+++ b/main/serve/answer_writer.cpp
@@ -19,7 +19,7 @@
 
 using json = nlohmann::json;
 
-constexpr double TENTHS = 10.0;
+constexpr double TENTHS_PER_MILLISECOND = 10.0;
 
 std::string write(const json &p_document) {
 	return p_document.dump(-1, ' ', false, json::error_handler_t::replace);
@@ -28,7 +28,7 @@
 json write_stages(const finish_request &p_finish) {
 	json stages = json::array();
 	for (const stage_report &stage : p_finish.stages) {
-		const double milliseconds = std::round(to_milliseconds(stage.elapsed) * TENTHS) / TENTHS;
+		const double milliseconds = std::round(to_milliseconds(stage.elapsed) * TENTHS_PER_MILLISECOND) / TENTHS_PER_MILLISECOND;
 		stages.push_back({ { "stage", stage.stage }, { "pool", stage.pool }, { "milliseconds", milliseconds }, { "cost", stage.units }, { "attempts", stage.attempts } });
 	}
 	return stages;
