--- a/main/serve/node.cpp
+++ b/main/serve/node.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: node.cpp
- * One entry node: makes its services and ties them together.
+ * One entry node: creates its services and connects them.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -14,8 +14,8 @@
 
 namespace {
 
-constexpr duration TICK = std::chrono::milliseconds(100);
-constexpr duration LONGEST_FLUSH = std::chrono::seconds(10);
+constexpr duration TICK_INTERVAL = std::chrono::milliseconds(100);
+constexpr duration MAX_FLUSH_TIME = std::chrono::seconds(10);
 
 } // namespace
 
@@ -42,7 +42,7 @@
 	_configuration.start();
 	_fleet.start();
 	_once.start();
-	_tick_timer.set(TICK);
+	_tick_timer.set(TICK_INTERVAL);
 }
 
 void node::_on_configuration() {
@@ -71,10 +71,10 @@
 	if (_phase != drain_phase::NONE) {
 		_advance_drain();
 	}
-	_tick_timer.set(TICK);
+	_tick_timer.set(TICK_INTERVAL);
 }
 
-void node::_enter(drain_phase p_phase, const char *p_name) {
+void node::_enter_phase(drain_phase p_phase, const char *p_name) {
 	_phase = p_phase;
 	LOG(INFO) << "event=drain phase=" << p_name << " open=" << _door.get_open_count() << " running=" << _requests.get_running_count();
 	_context.timeline.add(event_kind::NODE_CHANGED, "", _context.settings.vm, std::string("drain ") + p_name);
@@ -85,33 +85,33 @@
 		return;
 	}
 	_drain_started = event_loop::now();
-	_enter(drain_phase::LISTENING, "listening");
+	_enter_phase(drain_phase::LISTENING, "listening");
 	_callers.announce_close();
 	_fleet.announce_leaving();
 }
 
 void node::_advance_drain() {
 	const instant now = event_loop::now();
-	const bool is_over = now - _drain_started >= _context.settings.drain.longest;
+	const bool is_overdue = now - _drain_started >= _context.settings.drain.longest;
 	if (_phase == drain_phase::LISTENING && now - _drain_started >= _context.settings.drain.listen) {
 		_callers.close();
 		_door.stop_accepting();
-		_enter(drain_phase::FINISHING, "finishing");
+		_enter_phase(drain_phase::FINISHING, "finishing");
 	}
 	const bool is_idle = _door.get_open_count() == 0 && _requests.get_running_count() == 0;
-	if (_phase == drain_phase::FINISHING && (is_idle || is_over)) {
+	if (_phase == drain_phase::FINISHING && (is_idle || is_overdue)) {
 		_flush_started = now;
-		_enter(drain_phase::FLUSHING, "flushing");
+		_enter_phase(drain_phase::FLUSHING, "flushing");
 	}
 	if (_phase != drain_phase::FLUSHING) {
 		return;
 	}
-	const bool owes = _ledger.owes() || _requests.get_settlement_count() > 0;
-	if (owes && now - _flush_started < LONGEST_FLUSH) {
+	const bool has_unwritten_costs = _ledger.owes() || _requests.get_settlement_count() > 0;
+	if (has_unwritten_costs && now - _flush_started < MAX_FLUSH_TIME) {
 		_ledger.flush_now();
 		return;
 	}
-	LOG(INFO) << "event=node_stopped owes=" << owes << " cut_off=" << _requests.get_running_count();
+	LOG(INFO) << "event=node_stopped owes=" << has_unwritten_costs << " cut_off=" << _requests.get_running_count();
 	_context.loop.stop();
 }
 
--- a/main/serve/node.h
+++ b/main/serve/node.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: node.h
- * One entry node: makes its services and ties them together.
+ * One entry node: creates its services and connects them.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -14,13 +14,13 @@
 
 namespace calicoscale {
 
-/** One entry node. */
+/** Entry node: owns its services and runs the drain before a planned stop. */
 class node {
 	enum class drain_phase {
 		NONE,
-		LISTENING, ///< Not ready any more; the balancer has time to notice.
-		FINISHING, ///< The listener is closed; what is in flight goes on.
-		FLUSHING, ///< Nothing is in flight; what is owed to the ledger is written.
+		LISTENING, ///< Not ready, but still listening, so that the load balancer has time to notice.
+		FINISHING, ///< The listener is closed; requests in flight continue.
+		FLUSHING, ///< No request is in flight, or the longest drain time is over; outstanding costs are written to the ledger.
 	};
 
 	node_context _context;
@@ -44,19 +44,19 @@
 	void _on_configuration();
 	void _tick();
 	void _advance_drain();
-	void _enter(drain_phase p_phase, const char *p_name);
+	void _enter_phase(drain_phase p_phase, const char *p_name);
 
 public:
 	/**
-	 * Opens all ports at once.
-	 * @throws std::runtime_error when one cannot be bound.
+	 * Binds all ports.
+	 * @throws std::runtime_error when a port cannot be bound.
 	 */
 	node(event_loop &p_loop, const node_settings &p_settings);
 
-	/** Begins to work. */
+	/** Starts the services. */
 	void start();
 
-	/** Begins a planned stop; the loop is stopped when it is done. A second call does nothing. */
+	/** Starts a planned stop; the event loop is stopped when the drain is complete. Further calls do nothing. */
 	void drain();
 
 	const network_address &get_caller_address() const { return _callers.get_address(); }
