--- a/main/serve/node_context.cpp
+++ b/main/serve/node_context.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: node_context.cpp
- * What the services of one node share.
+ * State and drivers that all services of one node share.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr int RANDOM_BITS_OF_INCARNATION = 20;
-constexpr std::uint64_t RANDOM_MASK = (1U << RANDOM_BITS_OF_INCARNATION) - 1;
+constexpr std::uint64_t RANDOM_BITS_MASK = (1U << RANDOM_BITS_OF_INCARNATION) - 1;
 
 std::uint64_t draw_bits() {
 	std::uint64_t bits = 0;
@@ -23,10 +23,10 @@
 	return bits;
 }
 
-/** Later lives of a VM have higher incarnations as long as its clock does not step back; see member_table for when it does. */
+/** Each start of a VM gets a higher incarnation as long as its clock does not step back; member_table handles the case that it does. */
 std::uint64_t make_incarnation() {
 	const std::uint64_t wall = static_cast<std::uint64_t>(event_loop::wall());
-	return (wall << RANDOM_BITS_OF_INCARNATION) | (draw_bits() & RANDOM_MASK);
+	return (wall << RANDOM_BITS_OF_INCARNATION) | (draw_bits() & RANDOM_BITS_MASK);
 }
 
 } // namespace
--- a/main/serve/node_context.h
+++ b/main/serve/node_context.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: node_context.h
- * What the services of one node share.
+ * State and drivers that all services of one node share.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -22,11 +22,11 @@
 
 namespace calicoscale {
 
-/** Parts every service of a node uses; owned by the node, passed by reference. */
+/** State and drivers that all services of a node use. The node owns it and passes it by reference. */
 struct node_context {
 	event_loop &loop;
 	const node_settings settings;
-	std::uint64_t incarnation;
+	std::uint64_t incarnation; ///< Wall time in milliseconds and random low bits; drawn at each start.
 	std::uint64_t seed;
 	http_client client;
 	platform_log log;
