--- a/main/serve/once_service.cpp
+++ b/main/serve/once_service.cpp
@@ -22,7 +22,7 @@
 constexpr int SECRET_BYTES = 32;
 constexpr std::size_t MAX_TICKETS = 100000;
 constexpr std::size_t MAX_CLAIMS = 400000;
-constexpr duration KEY_AGE = std::chrono::minutes(10);
+constexpr duration MAX_KEY_AGE = std::chrono::minutes(10);
 /** Claims that arrive within this time share one append. */
 constexpr duration APPEND_DELAY = std::chrono::milliseconds(10);
 constexpr duration APPEND_TIMEOUT = std::chrono::seconds(2);
@@ -52,7 +52,7 @@
 		_context(p_context),
 		_fleet(p_fleet),
 		_tickets(p_context.settings.vm, p_context.incarnation, make_secret(), MAX_TICKETS),
-		_claims(p_context.settings.vm, p_context.incarnation, KEY_AGE, MAX_CLAIMS),
+		_claims(p_context.settings.vm, p_context.incarnation, MAX_KEY_AGE, MAX_CLAIMS),
 		_append_timer(p_context.loop, [this] { _append(); }),
 		_read_timer(p_context.loop, [this] { _read(); }),
 		_sweep_timer(p_context.loop, [this] { _sweep(); }) {
