--- a/tests/main/gateway_restart_test.cpp
+++ b/tests/main/gateway_restart_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: gateway_restart_test.cpp
- * What a gateway does when an endpoint starts again under its name.
+ * Tests how a gateway handles an endpoint that restarts under the same name.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -14,7 +14,7 @@
 
 class gateway_restart_test : public gateway_fixture {
 protected:
-	/** Writes an entry as a later start of the replica would, at the same address. */
+	/** Writes the entry that a restarted replica would write: same name and address, start time p_born. */
 	void restart(const standin_replica &p_replica, const std::string &p_service, std::uint64_t p_born, bool p_leaving = false) {
 		json entry = json::parse(p_replica.get_entry(p_service, p_leaving));
 		entry["born"] = p_born;
@@ -106,7 +106,10 @@
 	EXPECT_EQ(result->body, WHOLE_STREAM);
 }
 
-/** What a peer of a version that knows names only tells must not keep a node from reading the starts. */
+/**
+ * Peers of an older program version send endpoint lists without start times. Guards against a node that applies such a list and
+ * then doesn't read the start times from the store.
+ */
 TEST_F(gateway_restart_test, a_node_told_by_one_that_knows_no_starts_reads_them_by_itself) {
 	standin_replica &replica = add_replica("llm");
 	gateway_settings settings;
