--- a/tests/main/gateway_rollout_test.cpp
+++ b/tests/main/gateway_rollout_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: gateway_rollout_test.cpp
- * Whole gateways while a service is moved to another version.
+ * Tests complete gateways during the roll-out of a service to another version.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -46,7 +46,7 @@
 		}
 	}
 
-	/** Asks all gateways in turn until something holds. */
+	/** Sends requests to all gateways in turn until the condition is true, for at most 30 s. */
 	void ask_until(const std::function<bool()> &p_condition, const std::string &p_path = "/safe/", const std::string &p_headers = "") {
 		const instant give_up = event_loop::now() + seconds(30);
 		for (std::size_t i = 0; !p_condition(); i++) {
@@ -111,7 +111,7 @@
 	EXPECT_EQ(get_state("llm"), "rolled_back");
 }
 
-// Guards the order's time: it began anew when all nodes were killed and started again.
+// Guards against an order whose duration starts from zero again after all nodes were killed and restarted.
 TEST_F(gateway_rollout_test, an_order_whose_deadline_passed_while_no_node_ran_is_rolled_back_at_once) {
 	start_two_versions("llm");
 	ask_until([this] { return get_state("llm") == "in_progress"; });
@@ -128,7 +128,7 @@
 	EXPECT_EQ(count_runs("v2"), before);
 }
 
-// Guards states that earlier versions of the program wrote.
+// Guards against an order that stops because its stored state was written by an earlier version of the program.
 TEST_F(gateway_rollout_test, an_order_goes_on_from_a_state_without_a_readable_time) {
 	start_two_versions("llm");
 	ask_until([this] { return get_state("llm") == "in_progress"; });
