--- a/tests/main/gateway_start_test.cpp
+++ b/tests/main/gateway_start_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: gateway_start_test.cpp
- * Whole fleets of gateways that start at one moment, and what they tell each other until all are ready.
+ * Tests fleets of gateways that start at the same time, and the data that they exchange until all are ready.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,7 +18,7 @@
 constexpr std::size_t NODES = 9;
 constexpr std::size_t SEEDS = 3;
 constexpr std::size_t PAGE = 100;
-/** A list that is told names an endpoint, its pool, zone and address in no more than this. */
+/** Maximum size of one endpoint (name, pool, zone and address) in a list that a node sends to a peer. */
 constexpr std::uint64_t LISTING_BYTES = 120;
 
 class gateway_start_test : public gateway_fixture {
@@ -76,7 +76,7 @@
 	EXPECT_LT(_store.get_calls() - before, NODES * 6) << "two calls a node and second";
 }
 
-// A small node's link carries few lists a second, so whoever asks it beyond that is sent on to others.
+// The link of a small node carries few lists a second, so it redirects further requesting nodes to other peers.
 TEST_F(gateway_start_test, nodes_are_told_by_those_that_were_told_before_while_the_store_is_away) {
 	_store.set_page_size(PAGE);
 	configure(1);
