--- a/tests/main/gateway_suspension_test.cpp
+++ b/tests/main/gateway_suspension_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: gateway_suspension_test.cpp
- * What gateways hold for true when their VMs were suspended.
+ * Tests that gateways do not act on outdated state after their VMs were suspended.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -17,7 +17,7 @@
 
 duration suspended = duration::zero();
 
-/** The clocks of VMs that were suspended for some time. */
+/** Returns the clocks of VMs that have been suspended for the time in `suspended`. */
 clock_reading read_clocks() {
 	timespec time{};
 	clock_gettime(CLOCK_MONOTONIC, &time);
@@ -33,7 +33,7 @@
 		gateway_fixture::SetUp();
 	}
 
-	/** All VMs are suspended, and wake. */
+	/** Simulates that all VMs are suspended for p_time and resume. */
 	void suspend(duration p_time) {
 		suspended += p_time;
 		_loop.run_due_timers();
@@ -83,7 +83,7 @@
 	add_replica("llm");
 	gateway &node = start_ready();
 	ASSERT_EQ(ask(node, "/once/", "key-2")->head.status, 200);
-	// The connections to the store do not outlast the suspension, and meanwhile a key is taken away.
+	// The suspension breaks the connections to the store, and a key is removed from the configuration meanwhile.
 	_store.lose_waiting_reads();
 	json configuration = make_configuration(2);
 	configuration["tenants"][0]["api_keys"] = { "key-1" };
