--- a/tests/main/other_writers_test.cpp
+++ b/tests/main/other_writers_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: other_writers_test.cpp
- * A whole gateway beside records, answers and headers that nobody of its kind wrote.
+ * Tests a complete gateway with malformed or foreign records in the store, answers of the store and headers of callers.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** Documents and bytes that name no endpoint to use. */
+/** Returns documents and byte strings that describe no usable endpoint. */
 std::vector<std::string> make_spoilt_values(const std::string &p_sound) {
 	std::vector<std::string> values{ "\xff\xfe\x00", "{", "[]", "7", "null", "\"text\"", std::string(50'000, '['), std::string(200'000, 'a') };
 	for (const char *field : { "service", "address", "zone", "state", "born" }) {
@@ -27,7 +27,7 @@
 
 class other_writers_test : public gateway_fixture {
 protected:
-	/** Sends until a replica has got something new to run. */
+	/** Sends requests until the replica has received a new one. */
 	void expect_served(const gateway &p_gateway, const standin_replica &p_replica) {
 		const std::size_t before = p_replica.runs.size();
 		run_until([this, &p_gateway, &p_replica, before] { ask(p_gateway, "/safe/"); return p_replica.runs.size() > before; });
@@ -40,7 +40,7 @@
 	configure(1);
 	standin_replica &first = add_replica("llm");
 	const std::vector<std::string> values = make_spoilt_values(first.get_entry("llm"));
-	// Keys that mean something in a request line, before, between and behind the names of endpoints.
+	// Keys with special characters of a request line; they sort before, between and after the names of endpoints.
 	const std::vector<std::string> keys{ "", " ", "%", "&part=1", "a b", "a#b", "i", "i-0 HTTP/1.1\r\nX: y\r\n\r\n", "i-00", "z", "\xc3\xa4" };
 	for (std::size_t i = 0; i < values.size(); i++) {
 		_store.put(ENDPOINT_TOPIC, keys[i % keys.size()] + std::to_string(i), values[i]);
