--- a/tests/main/configuration_follower_test.cpp
+++ b/tests/main/configuration_follower_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: configuration_follower_test.cpp
- * A confirmed configuration is in force in time, whatever became of the reads before it.
+ * Tests that a confirmed configuration is applied in time even if earlier reads of the store failed or got no answer.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -12,12 +12,12 @@
 
 namespace {
 
-/** Endpoints are read about once a second, so this many calls take longer than a change of the configuration may. */
+/** Endpoints are read about once a second, so this many calls take longer than a change of the configuration is allowed to. */
 constexpr std::size_t CALLS_OF_A_CHANGE = 3;
 
 class configuration_follower_test : public gateway_fixture {
 protected:
-	/** Puts a version that knows this key only, as the operators would. */
+	/** Writes a configuration version whose only API key is p_key, as an operator would. */
 	void configure_key(int p_version, const std::string &p_key) {
 		json document = make_configuration(p_version);
 		document["tenants"][0]["api_keys"] = { p_key };
@@ -26,7 +26,7 @@
 
 	int ask_with(const gateway &p_gateway, const std::string &p_key) { return ask(p_gateway, "/safe/", p_key)->head.status; }
 
-	/** A gateway that has just begun to wait for the version after this one. */
+	/** Returns a gateway that has applied this version and has just sent the waiting read for the next one. */
 	gateway &start_waiting(int p_version, const std::string &p_key) {
 		configure(1);
 		add_replica("llm");
@@ -45,13 +45,11 @@
 } // namespace
 
 /*
- * Callers with new keys were refused with 401, and old routes served, for three and a half seconds after a change had been
- * confirmed. Order of events: the store falls silent for six seconds; each node's waiting read of the configuration times
- * out and the next one is sent, into the silence; the store returns, reads of the endpoints are answered again, changes are
- * confirmed; the waiting read stays silent until its own time-out of five seconds. Cause: a read that waits is silent both
- * when nothing has changed and when its connection is dead, and nothing else was asked. Evidence: every node lost the store
- * for the configuration five seconds after a read was sent, and regained it five seconds and two retries later, while it had
- * regained it for the endpoints four seconds before; no node made another call between the two.
+ * Guards against a node that keeps an outdated configuration (401 for new keys, old routes) for 3.5 s after a confirmed
+ * change. It comes about when the store stops answering for 6 s: the waiting read of the configuration times out and the next
+ * one is sent while the store is still silent. The store then answers reads of the endpoints and confirms changes, but the
+ * waiting read gets no answer until its own time-out of 5 s. A waiting read is silent both when nothing has changed and when
+ * its connection is dead, so the node has to send another read to tell the two apart.
  */
 TEST_F(configuration_follower_test, a_change_after_the_store_was_silent_is_in_force_as_soon_as_the_store_is_heard_again) {
 	gateway &entry = start_waiting(2, "key-of-2");
@@ -67,11 +65,11 @@
 TEST_F(configuration_follower_test, before_the_first_version_the_store_is_waited_on_and_not_asked_without_end) {
 	start_gateway();
 	wait(milliseconds(900));
-	// Two waiting reads of the configuration, the endpoints each 0.3 s, the own name.
+	// Two waiting reads of the configuration, one read of the endpoints each 0.3 s, and the registration of the own name.
 	EXPECT_LE(_store.get_calls(), 9U);
 }
 
-/** The same cause without an outage: one answer of the store is lost, and its connection says nothing more. */
+/** The same cause without an outage: one answer of the store is lost, and its connection stays silent afterwards. */
 TEST_F(configuration_follower_test, a_change_is_in_force_in_time_though_the_waiting_read_is_dead) {
 	gateway &entry = start_waiting(2, "key-of-2");
 	_store.lose_waiting_reads();
