--- a/tests/main/node_fixture.cpp
+++ b/tests/main/node_fixture.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: node_fixture.cpp
- * A node, or several, with stand-ins, all on one loop of the test process.
+ * Test fixture that runs one or more nodes and the stand-ins in the test process.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
