--- a/tests/main/raw_connection.h
+++ b/tests/main/raw_connection.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: raw_connection.h
- * A bare TCP connection for sending what no client library would.
+ * A TCP connection without a client library, for tests that send arbitrary bytes.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -24,14 +24,14 @@
 
 namespace calicoscale {
 
-/** Connects at once; never blocks after that. */
+/** Connects in the constructor, which may block; the other functions do not block. */
 class raw_connection {
 	int _socket;
 	std::string _received;
 	bool _closed = false;
 	bool _reset = false;
 
-	/** Reading tells an orderly close only, also when a reset came behind it. */
+	/** Returns whether the socket has a pending error: recv() reports only the orderly close, even if a reset followed it. */
 	bool has_error() const {
 		int error = 0;
 		socklen_t size = sizeof(error);
@@ -61,7 +61,7 @@
 	}
 	void close_sending() { shutdown(_socket, SHUT_WR); }
 
-	/** Takes in what has come. */
+	/** Reads all bytes that have arrived, and records a close or reset. */
 	void poll() {
 		std::array<char, 4096> buffer{};
 		while (true) {
@@ -78,7 +78,7 @@
 
 	const std::string &get_received() const { return _received; }
 	bool is_closed() const { return _closed; }
-	/** Whether the other side closed with bytes of this one unread. */
+	/** Returns whether the peer reset the connection, as it does when it closes with unread bytes from this side. */
 	bool is_reset() const { return _reset; }
 };
 
