--- a/tests/main/raw_server.h
+++ b/tests/main/raw_server.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: raw_server.h
- * A server that sends chosen bytes whatever it is asked, for tests.
+ * A server for tests that answers every request with the same configured bytes.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -25,15 +25,15 @@
 
 namespace calicoscale {
 
-/** Answers each request, known by its blank line, with the same bytes. */
+/** Answers each request with the same bytes as soon as the blank line after its headers has arrived. */
 class raw_server {
 public:
-	/** What follows the bytes. */
+	/** What the server does after it has sent the bytes. */
 	enum class after {
 		KEEP,
 		CLOSE,
 		RESET,
-		END, ///< Its process ends: all connections are closed in good order, and nobody listens any more.
+		END, ///< Closes the connection in an orderly way and stops listening, like a process that exits.
 	};
 
 private:
@@ -69,7 +69,7 @@
 
 	static void _on_written(bufferevent *p_stream, void *p_self) {
 		raw_server &self = *static_cast<raw_server *>(p_self);
-		// Told as well when a connection comes up, with nothing written yet.
+		// libevent also calls this when a connection is established and nothing has been written yet.
 		if (self._answered.contains(p_stream)) {
 			self._finish(p_stream);
 		}
@@ -123,7 +123,7 @@
 		_after = p_after;
 	}
 
-	/** Closes all connections at once, without a turn of the loop. */
+	/** Closes all connections immediately, without running the event loop. */
 	void close_connections() {
 		_after = after::CLOSE;
 		for (bufferevent *stream : _streams) {
