--- a/tests/main/bare_endpoint.h
+++ b/tests/main/bare_endpoint.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: bare_endpoint.h
- * An endpoint whose one connection the test drives itself, so that it can act while the loop of the node stands still.
+ * An endpoint whose only connection is driven by the test itself, so that it can act while the event loop of the node does not run.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -21,7 +21,7 @@
 
 namespace calicoscale {
 
-/** Listens at once; takes one connection and never blocks. */
+/** Listens from construction, accepts one connection and never blocks. */
 class bare_endpoint {
 	int _listener;
 	int _connection = -1;
@@ -51,7 +51,7 @@
 	bare_endpoint(const bare_endpoint &) = delete;
 	bare_endpoint &operator=(const bare_endpoint &) = delete;
 
-	/** Takes in what has come. @return whether a whole head is there. */
+	/** Reads the bytes that have arrived. @return whether the complete head of a request was received. */
 	bool has_request() {
 		if (_connection < 0) {
 			_connection = accept4(_listener, nullptr, nullptr, SOCK_NONBLOCK);
