--- a/tests/main/settings_test.cpp
+++ b/tests/main/settings_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: settings_test.cpp
- * Settings, mixes and the checks of answers.
+ * Tests the parsing of settings and load mixes, and the checks of answers.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
