--- a/tests/main/standin_test.cpp
+++ b/tests/main/standin_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: standin_test.cpp
- * The stand-ins themselves.
+ * Tests the stand-ins.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,7 +18,7 @@
 
 namespace calicoscale {
 
-/** Shows only with the leak sanitizer, which the sanitized build of the tests runs. */
+/** Guards against a leak of a delayed answer; only the leak sanitizer of the sanitized build detects it. */
 TEST(standin_log, an_answer_still_delayed_at_the_end_is_freed) {
 	event_loop loop;
 	standin_log log(loop, network_address{ "127.0.0.1", 0 });
