--- a/tests/main/caller_interface_test.cpp
+++ b/tests/main/caller_interface_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: caller_interface_test.cpp
- * Bad input from callers: a clear error or a closed connection, and nobody else disturbed.
+ * Tests that invalid input from callers gets a clear error or a closed connection and does not affect other callers.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
