--- a/tests/main/fault_matrix_test.cpp
+++ b/tests/main/fault_matrix_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: fault_matrix_test.cpp
- * Every fault at every step of a request, on real sockets against stand-ins.
+ * Tests every fault at every step of a request, on real sockets against stand-ins.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -15,14 +15,14 @@
 
 namespace {
 
-/** One cell of the matrix: a fault at a step, and what a caller must be told. */
+/** One cell of the matrix: a fault at a step of a request, and the answer that the caller must receive. */
 struct matrix_cell {
 	const char *step;
 	const char *fault_name;
-	const char *pool; ///< Whose endpoints have the fault.
+	const char *pool; ///< Pool whose endpoints have the fault.
 	endpoint_fault fault;
 	double amount;
-	bool both; ///< At both endpoints of the pool, or at the first only.
+	bool both; ///< Whether both endpoints of the pool have the fault, or only the first.
 	const char *pipeline;
 	bool stream;
 	const char *verdict; ///< Expected.
@@ -46,7 +46,7 @@
 constexpr endpoint_fault LEAVING = endpoint_fault::LEAVING;
 
 const std::vector<matrix_cell> CELLS{
-	// One endpoint of a repeatable stage is bad: the other serves.
+	// One endpoint of a repeatable stage is faulty: the other serves the request.
 	{ "connect", "refuse", "encoders", REFUSE, 0, false, "answer", false, "completed", nullptr },
 	{ "send", "503 before running", "encoders", BUSY, 0, false, "answer", false, "completed", nullptr },
 	{ "send", "leaving", "retrievers", LEAVING, 0, false, "answer", false, "completed", nullptr },
@@ -58,7 +58,7 @@
 	{ "last byte", "truncate", "encoders", TRUNCATE, 0, false, "answer", false, "completed", nullptr },
 	{ "last byte", "second answer", "retrievers", SECOND_ANSWER, 0, false, "answer", false, "completed", nullptr },
 	{ "last byte", "500 after running", "encoders", ERROR_AFTER, 0, false, "answer", false, "completed", nullptr },
-	// All endpoints of the first stage are bad.
+	// All endpoints of the first stage are faulty.
 	{ "connect", "refuse everywhere", "encoders", REFUSE, 0, true, "answer", false, "not_run", "connect_failed" },
 	{ "send", "503 before running everywhere", "encoders", BUSY, 0, true, "answer", false, "not_run", "refused_busy" },
 	{ "send", "leaving everywhere", "encoders", LEAVING, 0, true, "answer", false, "not_run", nullptr },
@@ -68,7 +68,7 @@
 	{ "first byte", "wrong echo everywhere", "encoders", WRONG_ECHO, 0, true, "answer", false, "may_have_run", "wrong_echo" },
 	{ "last byte", "second answer everywhere", "encoders", SECOND_ANSWER, 0, true, "answer", false, "may_have_run", nullptr },
 	{ "last byte", "500 after running everywhere", "encoders", ERROR_AFTER, 0, true, "answer", false, "may_have_run", "endpoint_error" },
-	// All endpoints of a later stage are bad: the first stage ran, so the request is not "not run".
+	// All endpoints of a later stage are faulty: the first stage ran, so the request is not "not run".
 	{ "connect, second stage", "refuse everywhere", "retrievers", REFUSE, 0, true, "answer", false, "may_have_run", "connect_failed" },
 	{ "send, second stage", "503 before running everywhere", "retrievers", BUSY, 0, true, "answer", false, "may_have_run", "refused_busy" },
 	{ "send, second stage", "leaving everywhere", "retrievers", LEAVING, 0, true, "answer", false, "may_have_run", nullptr },
@@ -86,7 +86,7 @@
 	{ "mid-stream", "second answer", "engines", SECOND_ANSWER, 0, true, "answer", true, "completed", nullptr },
 	{ "last token", "wrong digest everywhere", "engines", endpoint_fault::WRONG_DIGEST, 0, true, "answer", true, "may_have_run", "truncated" },
 	{ "mid-stream, not streamed to the caller", "endpoint lost, continued elsewhere", "engines", endpoint_fault::MID_STREAM_LOSS, 3, false, "answer", false, "completed", nullptr },
-	// An unrepeatable last stage: tried again only where it certainly did not run.
+	// An unrepeatable last stage is retried only if it certainly did not run.
 	{ "connect, unrepeatable", "refuse", "services", REFUSE, 0, false, "send", false, "completed", nullptr },
 	{ "send, unrepeatable", "503 before running", "services", BUSY, 0, false, "send", false, "completed", nullptr },
 	{ "send, unrepeatable", "leaving", "services", LEAVING, 0, false, "send", false, "completed", nullptr },
@@ -99,7 +99,7 @@
 	{ "wait, unrepeatable", "late answer", "services", LATE, 50, true, "send", false, "completed", nullptr },
 };
 
-/** Adds a line to the file that misc/scripts/fault_matrix.sh makes docs/FAULTS.md of. */
+/** Appends a line to the file from which misc/scripts/fault_matrix.sh generates docs/FAULTS.md. */
 void report_cell(const std::string &p_step, const std::string &p_fault, const std::string &p_verdict, const std::string &p_test) {
 	const char *path = std::getenv("CALICOSCALE_MATRIX_FILE");
 	if (path != nullptr) {
@@ -111,7 +111,7 @@
 
 class fault_matrix : public node_fixture {
 protected:
-	/** What holds for every answer whatever was broken. */
+	/** Checks the guarantees that every answer keeps, whichever fault was injected. */
 	void check_promises(const test_request &p_request, const test_answer &p_answer) {
 		const std::string verdict = p_answer.get_verdict();
 		if (verdict == "not_run") {
@@ -132,7 +132,7 @@
 		}
 	}
 
-	/** Books are even once everything was settled. */
+	/** Checks that the ledger equals the units that the endpoints charged, once all costs are settled and flushed. */
 	void check_ledger() {
 		run_until([this] {
 			const nlohmann::json status = get_status();
@@ -164,7 +164,7 @@
 	if (cell.both) {
 		set_fault(std::string(cell.pool) + "-1", cell.fault, cell.amount);
 	}
-	// Several requests, so that the bad endpoint is met whichever is chosen first.
+	// Sends several requests, so that the faulty endpoint is used whichever is chosen first.
 	for (int i = 0; i < 4; i++) {
 		test_request request;
 		request.pipeline = cell.pipeline;
@@ -175,7 +175,7 @@
 			request.once = make_key();
 		}
 		const test_answer answer = ask(request);
-		// Once it is known that all have left, the door refuses before anything runs.
+		// Once the node knows that all endpoints are leaving, it refuses the request on arrival, before anything runs.
 		const bool is_known = cell.fault == LEAVING && cell.both && i > 0;
 		EXPECT_EQ(answer.get_verdict(), is_known ? "not_run" : cell.verdict) << answer.body.dump();
 		if (cell.reason != nullptr && i == 0) {
@@ -197,7 +197,7 @@
 	return name;
 });
 
-/** Pairs of faults at two pools at once. */
+/** A fault at the first stage together with a fault at the last stages (engines and services). */
 class fault_matrix_pair : public fault_matrix, public ::testing::WithParamInterface<std::tuple<endpoint_fault, endpoint_fault>> {};
 
 TEST_P(fault_matrix_pair, keeps_every_promise) {
@@ -233,7 +233,7 @@
 	return std::string(find_name(ENDPOINT_FAULT_NAMES, std::get<0>(p_info.param))) + "_and_" + std::string(find_name(ENDPOINT_FAULT_NAMES, std::get<1>(p_info.param)));
 });
 
-/** Faults of the log at the claim of a key. */
+/** A fault of the log while a key is claimed. */
 struct claim_cell {
 	log_fault fault;
 	const char *verdict;
@@ -359,7 +359,7 @@
 	request.stream = true;
 	const std::shared_ptr<test_answer> answer = send(request);
 	run_until([answer] { return answer->tokens.size() >= 2 && !answer->resume.empty(); }, "tokens");
-	// The node vanishes: nothing of it runs any more, and its sockets close.
+	// Simulates a crash of the node: none of its code runs any more, and its sockets close.
 	kill_node(0);
 	run_until([answer] { return answer->ended; }, "the broken stream");
 	EXPECT_NE(answer->result.failure, http_failure::NONE) << "a broken stream never looks complete";
