--- a/tests/main/configuration_follower_test.cpp
+++ b/tests/main/configuration_follower_test.cpp
@@ -65,7 +65,7 @@
 TEST_F(configuration_follower_test, before_the_first_version_the_store_is_waited_on_and_not_asked_without_end) {
 	start_gateway();
 	wait(milliseconds(900));
-	// Two waiting reads of the configuration, one read of the endpoints each 0.3 s, and the registration of the own name.
+	// Two waiting reads of the configuration, one read of the endpoints each 0.3 s, and one call for the own name.
 	EXPECT_LE(_store.get_calls(), 9U);
 }
 
--- a/tests/main/gateway_restart_test.cpp
+++ b/tests/main/gateway_restart_test.cpp
@@ -107,8 +107,8 @@
 }
 
 /**
- * Peers of an older program version send endpoint lists without start times. Guards against a node that applies such a list and
- * then doesn't read the start times from the store.
+ * Peers of an older program version send lists and deltas of endpoints without start times. Guards against a node that
+ * relies on these and doesn't read the start times from the store.
  */
 TEST_F(gateway_restart_test, a_node_told_by_one_that_knows_no_starts_reads_them_by_itself) {
 	standin_replica &replica = add_replica("llm");
--- a/tests/main/gateway_start_test.cpp
+++ b/tests/main/gateway_start_test.cpp
@@ -76,7 +76,7 @@
 	EXPECT_LT(_store.get_calls() - before, NODES * 6) << "two calls a node and second";
 }
 
-// The link of a small node carries few lists a second, so it redirects further requesting nodes to other peers.
+// The link of a small node carries few lists a second, so it declines further requests, and those nodes ask other peers.
 TEST_F(gateway_start_test, nodes_are_told_by_those_that_were_told_before_while_the_store_is_away) {
 	_store.set_page_size(PAGE);
 	configure(1);
--- a/tests/main/gateway_suspension_test.cpp
+++ b/tests/main/gateway_suspension_test.cpp
@@ -83,7 +83,7 @@
 	add_replica("llm");
 	gateway &node = start_ready();
 	ASSERT_EQ(ask(node, "/once/", "key-2")->head.status, 200);
-	// The suspension breaks the connections to the store, and a key is removed from the configuration meanwhile.
+	// The connections to the store do not survive the suspension, and a key is removed from the configuration meanwhile.
 	_store.lose_waiting_reads();
 	json configuration = make_configuration(2);
 	configuration["tenants"][0]["api_keys"] = { "key-1" };
