--- a/tests/main/caller_interface_test.cpp
+++ b/tests/main/caller_interface_test.cpp
@@ -25,7 +25,7 @@
 
 const http_header KEY{ "Authorization", "Bearer key-large" };
 const char *const ANSWER = "/v1/pipelines/answer/requests";
-const std::string SOUND = R"({"input": {"marker": "m"}})";
+const std::string VALID_BODY = R"({"input": {"marker": "m"}})";
 
 std::vector<bad_request_case> make_cases() {
 	std::string deep = "{\"input\": ";
@@ -39,17 +39,17 @@
 		{ "wrong_type", ANSWER, { KEY }, R"({"input": 1, "stream": "yes"})", 400, "bad_request" },
 		{ "invalid_utf8", ANSWER, { KEY }, "{\"input\": \"\xff\xfe\"}", 400, "bad_request" },
 		{ "too_deep", ANSWER, { KEY }, deep, 400, "bad_request" },
-		{ "unknown_pipeline", "/v1/pipelines/none/requests", { KEY }, SOUND, 404, "not_found" },
-		{ "unknown_path", "/v1/nothing", { KEY }, SOUND, 404, "not_found" },
-		{ "missing_key", ANSWER, {}, SOUND, 401, "unauthorized" },
-		{ "foreign_key", ANSWER, { { "Authorization", "Bearer guess" } }, SOUND, 401, "unauthorized" },
-		{ "basic_scheme", ANSWER, { { "Authorization", "Basic key-large" } }, SOUND, 401, "unauthorized" },
-		{ "zero_deadline", ANSWER, { KEY, { "Request-Deadline-Ms", "0" } }, SOUND, 400, "bad_deadline" },
-		{ "negative_deadline", ANSWER, { KEY, { "Request-Deadline-Ms", "-5" } }, SOUND, 400, "bad_deadline" },
-		{ "absurd_deadline", ANSWER, { KEY, { "Request-Deadline-Ms", "99999999999999999999" } }, SOUND, 400, "bad_deadline" },
-		{ "worded_deadline", ANSWER, { KEY, { "Request-Deadline-Ms", "soon" } }, SOUND, 400, "bad_deadline" },
-		{ "key_of_wrong_form", ANSWER, { KEY, { "Idempotency-Key", "x" } }, SOUND, 400, "idempotency_key_malformed" },
-		{ "key_missing", "/v1/pipelines/send/requests", { KEY }, SOUND, 400, "idempotency_key_required" },
+		{ "unknown_pipeline", "/v1/pipelines/none/requests", { KEY }, VALID_BODY, 404, "not_found" },
+		{ "unknown_path", "/v1/nothing", { KEY }, VALID_BODY, 404, "not_found" },
+		{ "missing_key", ANSWER, {}, VALID_BODY, 401, "unauthorized" },
+		{ "foreign_key", ANSWER, { { "Authorization", "Bearer guess" } }, VALID_BODY, 401, "unauthorized" },
+		{ "basic_scheme", ANSWER, { { "Authorization", "Basic key-large" } }, VALID_BODY, 401, "unauthorized" },
+		{ "zero_deadline", ANSWER, { KEY, { "Request-Deadline-Ms", "0" } }, VALID_BODY, 400, "bad_deadline" },
+		{ "negative_deadline", ANSWER, { KEY, { "Request-Deadline-Ms", "-5" } }, VALID_BODY, 400, "bad_deadline" },
+		{ "absurd_deadline", ANSWER, { KEY, { "Request-Deadline-Ms", "99999999999999999999" } }, VALID_BODY, 400, "bad_deadline" },
+		{ "worded_deadline", ANSWER, { KEY, { "Request-Deadline-Ms", "soon" } }, VALID_BODY, 400, "bad_deadline" },
+		{ "key_of_wrong_form", ANSWER, { KEY, { "Idempotency-Key", "x" } }, VALID_BODY, 400, "idempotency_key_malformed" },
+		{ "key_missing", "/v1/pipelines/send/requests", { KEY }, VALID_BODY, 400, "idempotency_key_required" },
 		{ "stream_under_a_key", ANSWER, { KEY, { "Idempotency-Key", "1-x" } }, R"({"input": 1, "stream": true})", 400, "bad_request" },
 		{ "forged_resume", "/v1/resume", { KEY }, R"({"resume": "0000000000000000000000000000000000000000000000000000000000000000{}", "next": 0})", 404, "not_found" },
 		{ "resume_without_token", "/v1/resume", { KEY }, "{}", 400, "bad_request" },
@@ -106,7 +106,7 @@
 	order.body = "{\"input\": \"" + std::string(2 * 1024 * 1024, 'x') + "\"}";
 	const http_result big_body = call(order);
 	EXPECT_TRUE(big_body.status == 413 || big_body.failure != http_failure::NONE) << big_body.status;
-	order.body = SOUND;
+	order.body = VALID_BODY;
 	order.headers.push_back(http_header{ "X-Long", std::string(100 * 1024, 'x') });
 	const http_result big_header = call(order);
 	EXPECT_TRUE(big_header.status == 400 || big_header.status == 413 || big_header.failure != http_failure::NONE) << big_header.status;
@@ -117,7 +117,7 @@
 TEST_F(caller_interface_test, two_content_lengths_close_the_connection) {
 	start_all();
 	raw_connection raw(_nodes[0]->get_caller_address());
-	raw.send_bytes("POST /v1/pipelines/answer/requests HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer key-large\r\nContent-Length: 26\r\nContent-Length: 5\r\n\r\n" + SOUND);
+	raw.send_bytes("POST /v1/pipelines/answer/requests HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer key-large\r\nContent-Length: 26\r\nContent-Length: 5\r\n\r\n" + VALID_BODY);
 	run_until([&raw] { raw.poll(); return raw.is_closed(); }, "a closed connection");
 	EXPECT_NE(raw.get_received().find(" 400 "), std::string::npos) << raw.get_received();
 	EXPECT_EQ(count_everything(), 0);
@@ -144,7 +144,7 @@
 TEST_F(caller_interface_test, bytes_sent_ahead_of_the_answer_neither_crash_nor_mix) {
 	start_all();
 	raw_connection raw(_nodes[0]->get_caller_address());
-	const std::string order = "POST /v1/pipelines/plain/requests HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer key-large\r\nContent-Length: " + std::to_string(SOUND.size()) + "\r\n\r\n" + SOUND;
+	const std::string order = "POST /v1/pipelines/plain/requests HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer key-large\r\nContent-Length: " + std::to_string(VALID_BODY.size()) + "\r\n\r\n" + VALID_BODY;
 	raw.send_bytes(order);
 	run_for(3);
 	raw.send_bytes(order);
