--- a/tests/main/other_writers_test.cpp
+++ b/tests/main/other_writers_test.cpp
@@ -13,11 +13,11 @@
 namespace {
 
 /** Returns documents and byte strings that describe no usable endpoint. */
-std::vector<std::string> make_spoilt_values(const std::string &p_sound) {
+std::vector<std::string> make_invalid_values(const std::string &p_valid_entry) {
 	std::vector<std::string> values{ "\xff\xfe\x00", "{", "[]", "7", "null", "\"text\"", std::string(50'000, '['), std::string(200'000, 'a') };
 	for (const char *field : { "service", "address", "zone", "state", "born" }) {
 		for (const char *value : { "null", "[]", "{}", "-1", "1e300", "\"\"" }) {
-			json entry = json::parse(p_sound);
+			json entry = json::parse(p_valid_entry);
 			entry[field] = json::parse(value);
 			values.push_back(entry.dump());
 		}
@@ -39,7 +39,7 @@
 TEST_F(other_writers_test, spoilt_records_before_and_between_hold_nothing_back) {
 	configure(1);
 	standin_replica &first = add_replica("llm");
-	const std::vector<std::string> values = make_spoilt_values(first.get_entry("llm"));
+	const std::vector<std::string> values = make_invalid_values(first.get_entry("llm"));
 	// Keys with special characters of a request line; they sort before, between and after the names of endpoints.
 	const std::vector<std::string> keys{ "", " ", "%", "&part=1", "a b", "a#b", "i", "i-0 HTTP/1.1\r\nX: y\r\n\r\n", "i-00", "z", "\xc3\xa4" };
 	for (std::size_t i = 0; i < values.size(); i++) {
