--- a/tests/main/settings_test.cpp
+++ b/tests/main/settings_test.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-const std::string SOUND = R"({
+const std::string VALID_SETTINGS = R"({
 	"vm": "entry-a", "zone": "z1", "region": "r1",
 	"caller_address": "127.0.0.1:7000", "admin_address": "127.0.0.1:7001", "link_address": "127.0.0.1:7002",
 	"fleet_key": "a long enough key",
@@ -50,29 +50,29 @@
 } // namespace
 
 TEST(node_settings, sound) {
-	const node_settings settings = parse_settings(SOUND);
+	const node_settings settings = parse_settings(VALID_SETTINGS);
 	EXPECT_EQ(settings.vm, "entry-a");
 	EXPECT_EQ(settings.platform.log.port, 9000);
 }
 
 TEST(node_settings, names_all_mistakes_at_once) {
-	const std::string text = replace(replace(SOUND, "127.0.0.1:7000", "300.0.0.1:7000"), "127.0.0.1:9001", "127.0.0.1:0");
+	const std::string text = replace(replace(VALID_SETTINGS, "127.0.0.1:7000", "300.0.0.1:7000"), "127.0.0.1:9001", "127.0.0.1:0");
 	EXPECT_EQ(find_places(text), (std::set<std::string>{ "/caller_address", "/platform/vm_list" }));
 }
 
 TEST(node_settings, unknown_keys_missing_keys_wrong_types_and_broken_json) {
-	EXPECT_FALSE(find_places(replace(SOUND, "\"vm\"", "\"vmm\"")).empty());
-	EXPECT_FALSE(find_places(replace(SOUND, "\"z1\"", "17")).empty());
+	EXPECT_FALSE(find_places(replace(VALID_SETTINGS, "\"vm\"", "\"vmm\"")).empty());
+	EXPECT_FALSE(find_places(replace(VALID_SETTINGS, "\"z1\"", "17")).empty());
 	EXPECT_FALSE(find_places("{").empty());
 	EXPECT_FALSE(find_places("[]").empty());
-	EXPECT_FALSE(find_places(replace(SOUND, "127.0.0.1:7001", "127.0.0.1:7000")).empty());
-	EXPECT_FALSE(find_places(replace(SOUND, "\"platform\"", R"("limits": { "caller_idle_seconds": 5 }, "platform")")).empty());
+	EXPECT_FALSE(find_places(replace(VALID_SETTINGS, "127.0.0.1:7001", "127.0.0.1:7000")).empty());
+	EXPECT_FALSE(find_places(replace(VALID_SETTINGS, "\"platform\"", R"("limits": { "caller_idle_seconds": 5 }, "platform")")).empty());
 }
 
 TEST(gateway_settings, mechanisms_are_switched_off_by_name_and_unknown_names_are_told) {
-	const gateway_settings usual = parse_gateway_settings(GATEWAY);
-	EXPECT_TRUE(usual.mechanisms.is_empty());
-	EXPECT_EQ(usual.configuration_apply, std::chrono::seconds(2));
+	const gateway_settings defaults = parse_gateway_settings(GATEWAY);
+	EXPECT_TRUE(defaults.mechanisms.is_empty());
+	EXPECT_EQ(defaults.configuration_apply, std::chrono::seconds(2));
 	const gateway_settings reduced = parse_gateway_settings(replace(GATEWAY, "\"zone\"", R"("ablation": ["admission", "store_readers"], "configuration_apply_ms": 3000, "zone")"));
 	EXPECT_FALSE(reduced.mechanisms.has(mechanism::ADMISSION));
 	EXPECT_FALSE(reduced.mechanisms.has(mechanism::STORE_READERS));
