--- a/tests/main/gateway_fixture.h
+++ b/tests/main/gateway_fixture.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: gateway_fixture.h
- * Whole gateways on real sockets, with stand-ins for the platform's store and replicas.
+ * Runs complete gateways on real sockets, with stand-ins for the platform's store and replicas.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -28,7 +28,7 @@
 constexpr const char *CONFIGURATION_TOPIC = "keyed.op";
 constexpr const char *ENDPOINT_TOPIC = "keyed.servers";
 
-/** What a caller got. */
+/** The response that a caller received. `end` is empty while the exchange is in progress. */
 struct caller_result {
 	http_head head;
 	std::string body;
@@ -43,7 +43,7 @@
 inline json make_configuration(int p_version) {
 	const json limits{ { "max_header_bytes", 16384 }, { "max_body_bytes", 4096 }, { "header_timeout_ms", 3000 }, { "idle_timeout_ms", 15000 } };
 	const json stages = json::array({ { { "service", "encode" }, { "since_rev", json::array() }, { "size_bytes", 1000 } }, { { "service", "search" }, { "since_rev", { 0 } }, { "size_bytes", 1000 } } });
-	// The route that may run once names two endpoints, so that only its kind keeps it from running twice.
+	// The non-idempotent route allows two attempts, so that only its kind prevents a second run.
 	const auto route = [](const char *p_path, const char *p_kind, int p_attempts) {
 		return json{ { "name", p_path }, { "host", "h.example" }, { "path_prefix", p_path }, { "route_kind", p_kind }, { "timeout_ms", 3000 }, { "slo_ms", 2000 }, { "priority", 1 }, { "service", "llm" }, { "max_attempts", p_attempts }, { "public", false } };
 	};
@@ -66,7 +66,7 @@
 	return json{ { "version", p_version }, { "routes", { once, safe, open, hasty, lengthy, stream, resumable, staged } }, { "services", services }, { "limits", limits }, { "tenants", customers } };
 }
 
-/** Gateways, replicas and a store in one process and on one loop. */
+/** Runs gateways, replicas and a store in one process, by default on one event loop. */
 class gateway_fixture : public ::testing::Test {
 protected:
 	event_loop _loop;
@@ -75,13 +75,13 @@
 	std::vector<std::unique_ptr<gateway>> _gateways;
 	std::unique_ptr<endpoint_channels> _callers;
 	int _next_attempt = 1;
-	double _cores = 1.0; ///< Of the gateways started from now on.
-	std::string _zone = "a"; ///< Of the gateways started from now on.
-	std::size_t _most_seeds = 100; ///< Peers that the gateways started from now on are told of.
-	std::map<std::string, std::string> _regions; ///< Of each zone, for the gateways started from now on.
-	bool _has_metrics = false; ///< Of the gateways started from now on.
-	event_loop *_gateway_loop = &_loop; ///< Of the gateways started from now on.
-	event_loop *_other_loop = nullptr; ///< Runs beside; none while its gateways stand still.
+	double _cores = 1.0; ///< Setting for gateways started later.
+	std::string _zone = "a"; ///< Setting for gateways started later.
+	std::size_t _most_seeds = 100; ///< Maximum number of configured peers of gateways started later.
+	std::map<std::string, std::string> _regions; ///< Region of each zone, for gateways started later.
+	bool _has_metrics = false; ///< Whether gateways started later serve metrics.
+	event_loop *_gateway_loop = &_loop; ///< Event loop of gateways started later.
+	event_loop *_other_loop = nullptr; ///< Second event loop that run_until() also runs; null while the gateways on it are paused.
 
 	void SetUp() override { _callers = std::make_unique<endpoint_channels>(_loop); }
 
@@ -98,7 +98,7 @@
 		}
 	}
 
-	/** Lets the loop run for a while, for what shows by time alone. */
+	/** Runs the loop for the given time, for effects that no condition can detect. */
 	void wait(duration p_time) {
 		const instant until = event_loop::now() + p_time;
 		run_until([until] { return event_loop::now() > until; });
@@ -138,7 +138,7 @@
 		return *_gateways.back();
 	}
 
-	/** A gateway that has read configuration and endpoints. */
+	/** Starts a gateway and waits until it has read the configuration and the endpoints. */
 	gateway &start_ready() { return start_ready(_store); }
 
 	gateway &start_ready(const standin_store &p_store) {
@@ -166,7 +166,7 @@
 		return result;
 	}
 
-	/** The bytes of a request with an id of its own. */
+	/** Returns the bytes of a request with a new attempt id. */
 	std::string write_request(const std::string &p_path, const std::string &p_body, const std::string &p_key, const std::string &p_headers) {
 		const std::string attempt = "r" + std::to_string(_next_attempt++);
 		std::string text = "POST " + p_path + " HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: " + attempt + "\r\nX-Deadline-Ms: 2500\r\n" + p_headers;
@@ -178,7 +178,7 @@
 		return send_bytes(p_gateway.get_caller_address(), write_request(p_path, "body", p_key, p_headers), r_id);
 	}
 
-	/** A request that may take longer than a planned stop. */
+	/** Sends a request that may take longer than a planned stop. */
 	std::shared_ptr<caller_result> send_lengthy(const gateway &p_gateway) {
 		return send_bytes(p_gateway.get_caller_address(), "POST /lengthy/ HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: long\r\nX-Deadline-Ms: 9000\r\nAuthorization: Bearer key-1\r\nContent-Length: 4\r\n\r\nbody");
 	}
