--- a/tests/main/gateway_test.cpp
+++ b/tests/main/gateway_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: gateway_test.cpp
- * What one gateway does with requests, endpoints and stages.
+ * Tests how a single gateway handles requests, endpoints and stages.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -61,7 +61,7 @@
 	const std::shared_ptr<caller_result> result = send(node, "/hasty/");
 	run_until([&endpoint] { return endpoint.has_request(); });
 	endpoint.answer("HTTP/1.1 200 OK\r\nX-Attempt-Id: r1\r\nX-Replica-Seal: s\r\nContent-Length: 4\r\n\r\nmade");
-	// The node does one long thing meanwhile, past the time at which it would give up.
+	// Blocks the event loop until after the deadline of the request.
 	std::this_thread::sleep_for(milliseconds(400));
 	run_until([&result] { return result->end.has_value(); });
 	EXPECT_EQ(result->head.status, 200);
