--- a/tests/main/gateway_pause_test.cpp
+++ b/tests/main/gateway_pause_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: gateway_pause_test.cpp
- * Some gateways stand still while others go on.
+ * Tests process stalls: some gateways are paused while others continue.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -14,7 +14,7 @@
 
 namespace {
 
-/** The gateways of the second loop stand still while it is not run. */
+/** The gateways on the second loop are paused while that loop is not run. */
 class gateway_pause_test : public gateway_fixture {
 protected:
 	event_loop _pausing;
@@ -32,7 +32,8 @@
 
 } // namespace
 
-// Guards against work that runs a second time: its owner gave it to another node while this one stood still.
+// Guards against stage work that runs twice: its owner passes it to another node while the first one is paused, and the first
+// one runs it as well when it resumes.
 TEST_F(gateway_pause_test, work_that_was_handed_to_a_node_before_it_stood_still_is_not_done_there_after) {
 	constexpr int REQUESTS = 24;
 	configure(1);
