--- a/tests/main/gateway_fleet_test.cpp
+++ b/tests/main/gateway_fleet_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: gateway_fleet_test.cpp
- * Gateways among each other, with the store away, and at their planned stop.
+ * Tests gateways that work together, with an unreachable store, and at their planned stop.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -55,7 +55,7 @@
 		const auto is_dispatching = [](const std::unique_ptr<gateway> &p_node) { return p_node->get_accepted_work_count() > 0; };
 		dispatching = std::max(dispatching, static_cast<std::size_t>(std::count_if(_gateways.begin(), _gateways.end(), is_dispatching)));
 	};
-	// Between two turns of a busy loop all work may come and end.
+	// Counts at each stage call, because all work may start and complete between two turns of a busy loop.
 	for (standin_replica &replica : _replicas) {
 		replica.on_stage_call = count_dispatching;
 	}
@@ -129,7 +129,7 @@
 }
 
 TEST_F(gateway_fleet_test, what_a_stopping_node_handed_over_comes_back_to_it) {
-	// One of the two dispatches the pool, so that each is once the one that stops and has handed work to the other.
+	// One of the two nodes dispatches the pool. Each node stops once, so that one of them has handed work to the other.
 	for (const std::size_t stopping : { 0U, 1U }) {
 		_gateways.clear();
 		configure(1 + static_cast<int>(stopping));
@@ -196,7 +196,7 @@
 	for (int i = 0; i < 5; i++) {
 		start_ready();
 	}
-	// A link that only helped to find the hubs is let go after ten seconds; the hubs tell how many nodes there are.
+	// A link that was only used to find the hubs is closed after ten seconds; the hubs report the number of nodes.
 	run_until([this] { return std::all_of(_gateways.begin() + 2, _gateways.end(), [](const std::unique_ptr<gateway> &p_node) { return p_node->get_link_count() == 2 && p_node->get_live_count() == 7; }); });
 	for (std::size_t i = 2; i < _gateways.size(); i++) {
 		EXPECT_EQ(ask(*_gateways[i], "/stream/staged/x", "key-1", "X-Segments: 1,1\r\nX-Segment-Key: k\r\n")->body, WHOLE_STREAM);
@@ -216,7 +216,7 @@
 	start_ready();
 	start_ready();
 	wait(milliseconds(600));
-	// Each of them dispatches some pool or none, and holds results of pools that others dispatch.
+	// Each node dispatches some pool or none, and keeps results of pools that other nodes dispatch.
 	for (const std::unique_ptr<gateway> &entry : _gateways) {
 		send(*entry, "/stream/staged/x", "key-1", "X-Segments: 2,2\r\nX-Segment-Key: k\r\n");
 	}
@@ -225,7 +225,7 @@
 	for (const std::unique_ptr<gateway> &entry : _gateways) {
 		entry->stop();
 	}
-	// Longer than a node may be silent and a lost one's results are kept, shorter than they live.
+	// Longer than a node may be silent and the results of a failed node are kept, but shorter than the lifetime of the results.
 	wait(milliseconds(1700));
 	EXPECT_EQ(encode.results.size() + search.results.size(), 6U);
 }
@@ -263,7 +263,7 @@
 		send(*entry, "/stream/staged/x", "key-1", "X-Segments: 2,2\r\nX-Segment-Key: k\r\n");
 	}
 	run_until([&engine] { return engine.runs.size() == 3; });
-	// Each request holds the results of its last stage.
+	// Each request keeps the results of its last stage.
 	run_until([&encode, &search] { return encode.results.size() + search.results.size() == 6U; });
 	_gateways.pop_back();
 	run_until([&encode, &search] { return encode.results.size() + search.results.size() == 4U; });
@@ -343,7 +343,7 @@
 	wait(milliseconds(2500));
 	const std::size_t before = _store.get_calls();
 	wait(milliseconds(3600));
-	// One node alone makes four reads of the endpoints and three of the configuration in this time.
+	// A single node makes four reads of the endpoints and three of the configuration in this time.
 	EXPECT_LE(_store.get_calls() - before, 10U);
 }
 
@@ -379,7 +379,7 @@
 	}
 }
 
-/** The reader of a zone is lost without a sign; what it read for the others is read by them. */
+/** The node that reads the store for its zone crashes without notice; the remaining nodes must read in its place. */
 TEST_F(gateway_fleet_test, when_the_reader_of_a_zone_is_lost_the_others_go_on) {
 	configure(1);
 	add_replica("llm");
@@ -506,7 +506,7 @@
 
 namespace {
 
-/** Nodes that stand still for some milliseconds while one works for another. */
+/** Stalls the process for the given number of milliseconds while one node runs work for another. */
 class held_up_nodes_test : public gateway_fixture, public ::testing::WithParamInterface<int> {};
 
 } // namespace
@@ -538,7 +538,7 @@
 	}
 }
 
-// Around the pause after which a node drops what was handed to it, and below the silence after which others take it for lost.
+// Around the stall after which a node drops work handed to it, and below the silence after which others consider it failed.
 INSTANTIATE_TEST_SUITE_P(pauses, held_up_nodes_test, ::testing::Values(300, 620, 650, 680, 720));
 
 } // namespace calicoscale
