--- a/tests/main/gateway_crash_test.cpp
+++ b/tests/main/gateway_crash_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: gateway_crash_test.cpp
- * What a fleet of gateways does with a request that ends each endpoint which begins to run it.
+ * Tests how several gateways handle a request that crashes each endpoint that begins to run it.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -15,24 +15,24 @@
 namespace {
 
 /**
- * The story: one request crashed each engine that began to run it. Its caller got 502 and sent it again, under a new id, at
- * another node; within six seconds eight engines of one service had ended, and a tenth of the service's other requests had
- * failed with them. Nodes remembered of a request only what its own exchange needed, and told each other nothing of requests,
- * so to each of them it was new each time. Evidence: of the 14 engines that ended under the second such request of the recorded
- * day, as far as the logs reach, each had lost a run of one customer before its first event; of the other runs lost with them
- * all but one had streamed. No request was lost twice under one id, and the addresses came back under other names: it was
- * not the connections alone that ended.
+ * Guards against a request that crashes each engine which begins to run it. Its caller receives 502 and sends it again, under a
+ * new id, to another node. If nodes keep of a request only what its own exchange needs, and send each other nothing about
+ * requests, each of them treats it as new each time: within six seconds eight engines of one service crashed, and a tenth of
+ * the service's other requests failed with them. Such a request fails before its first event: each of 14 crashed engines had
+ * lost a run of one customer before its first event, while all but one of the other runs lost with them had streamed. No
+ * request was lost twice under one id. The addresses returned under other names, so the engines had crashed and not only
+ * their connections.
  */
 class gateway_crash_test : public gateway_fixture {
 protected:
 	const std::string ENDING = "ends what runs it";
 	const std::string ENDING_KEY = "ends-what-makes-its-pieces";
-	/** The aim: three endpoints may end under a request; this long after the third all nodes hold back, but for three sends. */
+	/** Requirement: a request may crash three endpoints; this long after the third, all nodes block it, except for three sends. */
 	static constexpr duration HOLD_BACK_TIME = seconds(3);
 	static constexpr std::size_t CRASHES = 3;
 	static constexpr std::size_t SENDS_LEFT = 3;
 
-	std::vector<instant> _arrivals; ///< Of the request at endpoints that begin to run it.
+	std::vector<instant> _arrivals; ///< Times at which an endpoint began to run the request.
 	std::list<timer> _later;
 
 	standin_replica &add_ending(const std::string &p_service, const std::string &p_zone) {
@@ -41,7 +41,7 @@
 		replica.ending_key = ENDING_KEY;
 		replica.on_ended = [this, &replica, p_service] {
 			_arrivals.push_back(event_loop::now());
-			// Its entry runs out, and it is back under another name.
+			// Its entry expires, and a replica with another name replaces it.
 			_later.emplace_back(_loop, [this, &replica, p_service] {
 				_store.drop(ENDPOINT_TOPIC, replica.get_name());
 				add_ending(p_service, replica.zone);
@@ -51,7 +51,7 @@
 		return replica;
 	}
 
-	/** A node in each of three zones, and engines in each. */
+	/** Starts a node and engines in each of three zones. */
 	void start_fleet(int p_engines_a_zone = 5) {
 		configure(1);
 		for (const char *zone : { "a", "b", "c" }) {
@@ -76,7 +76,7 @@
 		return result->head.status;
 	}
 
-	/** The request comes again and again, each time at the next node. */
+	/** Sends the request repeatedly, each time to the next node. */
 	void send_in_turn(const std::string &p_path, duration p_time) {
 		const instant until = event_loop::now() + p_time;
 		for (std::size_t turn = 0; event_loop::now() < until; turn++) {
@@ -221,7 +221,7 @@
 	EXPECT_GE(_arrivals.size(), CRASHES);
 	EXPECT_LE(count_late_arrivals(), SENDS_LEFT) << _arrivals.size() << " replicas ended";
 	run_until([&others] { return std::all_of(others.begin(), others.end(), [](const std::shared_ptr<caller_result> &p_result) { return p_result->end.has_value(); }); });
-	// One neighbour is sent with each of the first three; those that share a call with it are lost with the replica.
+	// One neighbour is sent with each of the first three requests; those that share a call with it fail with the replica.
 	const auto served = std::count_if(others.begin(), others.end(), [](const std::shared_ptr<caller_result> &p_result) { return p_result->body == WHOLE_STREAM; });
 	EXPECT_GE(served, static_cast<std::ptrdiff_t>(others.size()) - 3) << "of " << others.size() << " neighbours";
 }
