--- a/tests/main/gateway_era_test.cpp
+++ b/tests/main/gateway_era_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: gateway_era_test.cpp
- * Whole gateways whose store comes back from a copy some seconds old.
+ * Tests complete gateways whose store is restored from a copy that is some seconds old.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -16,7 +16,7 @@
 protected:
 	void SetUp() override {
 		gateway_fixture::SetUp();
-		// Answers tell an era from the beginning.
+		// Restores a copy once, so that answers carry an era from the beginning.
 		_store.take_copy();
 		_store.come_back_from_copy();
 	}
@@ -31,7 +31,7 @@
 
 	void list(const standin_replica &p_replica, bool p_leaving = false) { _store.put(ENDPOINT_TOPIC, p_replica.get_name(), p_replica.get_entry("llm", p_leaving)); }
 
-	/** Records of no endpoint, so that offsets given out again reach past those that were known. */
+	/** Appends records that describe no endpoint, so that reused offsets exceed those that were known. */
 	void write_others(int p_number) {
 		for (int i = 0; i < p_number; i++) {
 			_store.put(ENDPOINT_TOPIC, "other", "no entry " + std::to_string(i));
@@ -42,8 +42,8 @@
 } // namespace
 
 /*
- * The log has grown past the node's offset by the time it asks: what stands between the copy's end and that offset was never
- * read, and nothing but the era shows it.
+ * By the time the node reads again, the restored log has grown past the node's offset. The records between the end of the copy
+ * and that offset were never read, and only the era shows it.
  */
 TEST_F(gateway_era_test, records_under_offsets_that_are_given_out_again_are_read) {
 	configure(1);
@@ -148,7 +148,7 @@
 	EXPECT_EQ(said_so.runs.size() + went.runs.size(), before);
 	EXPECT_EQ(stays.runs.size(), 12U);
 	list(went);
-	// While it stays the others need not be chosen, as nothing is at work there.
+	// Unless this endpoint leaves, the others need not be chosen, as it has no running requests.
 	list(stays, true);
 	wait(milliseconds(2000));
 	for (int i = 0; i < 12; i++) {
