--- a/tests/main/gateway_evacuation_test.cpp
+++ b/tests/main/gateway_evacuation_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: gateway_evacuation_test.cpp
- * Whole gateways while availability zones are evacuated and taken back.
+ * Tests complete gateways while availability zones are evacuated and taken back.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -17,10 +17,10 @@
 	void evacuate(const std::string &p_zone, const std::string &p_value = "{}") { _store.put(CONFIGURATION_TOPIC, "evacuate/" + p_zone, p_value); }
 	void take_back(const std::string &p_zone) { _store.drop(CONFIGURATION_TOPIC, "evacuate/" + p_zone); }
 
-	/** Waits until a gateway has learnt of an evacuation: within a turn of the waiting read and a heartbeat. */
+	/** Waits until a gateway has received an evacuation: at most one turn of the long-polling read and one heartbeat. */
 	void wait_for_news() { wait(milliseconds(700)); }
 
-	/** Asks so often that each endpoint in use would be met. */
+	/** Sends enough requests that each endpoint in use would receive one. */
 	void ask_often(const gateway &p_gateway, const std::string &p_path = "/safe/") {
 		for (int i = 0; i < 12; i++) {
 			EXPECT_EQ(ask(p_gateway, p_path)->head.status, 200);
@@ -70,7 +70,7 @@
 	add_replica("llm", "b");
 	standin_store other(_loop);
 	start_ready();
-	// Its store never answers, as if it were turned away there.
+	// Its store never answers, as if it refused this node.
 	other.set_away(true);
 	gateway &told = start_ready(other);
 	evacuate("a");
