--- a/tests/main/gateway_limits_test.cpp
+++ b/tests/main/gateway_limits_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: gateway_limits_test.cpp
- * Whole gateways before endpoints that say in their answers what they take.
+ * Tests complete gateways with endpoints that advertise a request limit in their answers.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -12,15 +12,15 @@
 
 namespace {
 
-/** The span in which requests are counted against a limit. */
+/** Time span in which requests are counted against a limit. */
 constexpr duration LIMIT_SPAN = seconds(4);
-/** From the first answer that names a limit until all nodes must keep it. */
+/** Time from the first answer that advertises a limit until all nodes must comply with it. */
 constexpr duration LIMIT_GRACE = seconds(3);
 
-/** Of a request with a piece in each of its two stages. */
+/** Headers of a request with one item in each of its two stages. */
 const char *const STAGED = "X-Segments: 1,1\r\nX-Segment-Key: k\r\n";
 
-/** Most that an endpoint may get in the span. */
+/** Returns the maximum number of requests that an endpoint may receive in LIMIT_SPAN. */
 std::size_t get_allowed(double p_rate) {
 	return static_cast<std::size_t>(p_rate * 1.5 * std::chrono::duration<double>(LIMIT_SPAN).count() + 5.0);
 }
@@ -36,7 +36,7 @@
 		wait(milliseconds(800));
 	}
 
-	/** Sends requests at an even pace, to one node after the other. */
+	/** Sends requests at a constant rate to the nodes in turn, and waits until all are complete. */
 	void press(const std::string &p_path, duration p_time, int p_per_second, const std::string &p_headers = "") {
 		const instant begin = event_loop::now();
 		for (int i = 0; i < p_per_second * static_cast<int>(std::chrono::duration_cast<seconds>(p_time).count()); i++) {
