--- a/tests/main/gateway_places_test.cpp
+++ b/tests/main/gateway_places_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: gateway_places_test.cpp
- * Whole gateways with endpoints that are cold, and with requests that have home regions.
+ * Tests complete gateways with cold endpoints, and with requests that have home regions.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -14,7 +14,7 @@
 
 class gateway_places_test : public gateway_fixture {
 protected:
-	/** Two regions of one zone each; the service bears one request a second at a cold endpoint. */
+	/** Configures home regions, and the requests a second that the service supports at a cold endpoint. */
 	void configure_places(const json &p_route_homes, const json &p_customer_homes, double p_cold_rate = 0.0) {
 		json document = make_configuration(1);
 		for (json &route : document["routes"]) {
@@ -26,6 +26,7 @@
 		_store.put(CONFIGURATION_TOPIC, "config", document.dump());
 	}
 
+	/** Starts a gateway with two regions of one zone each. */
 	gateway &start_in_regions() {
 		_regions = { { "a", "north" }, { "b", "south" } };
 		return start_ready();
@@ -58,7 +59,7 @@
 	const std::size_t before = cold.runs.size();
 	EXPECT_EQ(ask_many(entry, 12), 12U);
 	EXPECT_LE(cold.runs.size() - before, 2U) << "the requests take less than two seconds";
-	// While it stays the other one need not be chosen, as nothing is at work there.
+	// Unless this endpoint leaves, the other one need not be chosen, as it has no running requests.
 	_store.put(ENDPOINT_TOPIC, warm.get_name(), warm.get_entry("llm", true));
 	wait(milliseconds(3000));
 	const std::size_t before_warm = cold.runs.size();
