--- a/tests/main/gateway_crash_test.cpp
+++ b/tests/main/gateway_crash_test.cpp
@@ -25,28 +25,28 @@
  */
 class gateway_crash_test : public gateway_fixture {
 protected:
-	const std::string ENDING = "ends what runs it";
-	const std::string ENDING_KEY = "ends-what-makes-its-pieces";
+	const std::string CRASHING_BODY = "ends what runs it";
+	const std::string CRASHING_KEY = "ends-what-makes-its-pieces";
 	/** Requirement: a request may crash three endpoints; this long after the third, all nodes block it, except for three sends. */
-	static constexpr duration HOLD_BACK_TIME = seconds(3);
+	static constexpr duration BLOCKING_DELAY = seconds(3);
 	static constexpr std::size_t CRASHES = 3;
-	static constexpr std::size_t SENDS_LEFT = 3;
+	static constexpr std::size_t MAX_LATE_ARRIVALS = 3;
 
 	std::vector<instant> _arrivals; ///< Times at which an endpoint began to run the request.
-	std::list<timer> _later;
+	std::list<timer> _replacement_timers;
 
-	standin_replica &add_ending(const std::string &p_service, const std::string &p_zone) {
+	standin_replica &add_crashing_replica(const std::string &p_service, const std::string &p_zone) {
 		standin_replica &replica = add_replica(p_service, p_zone);
-		replica.ending_body = ENDING;
-		replica.ending_key = ENDING_KEY;
+		replica.ending_body = CRASHING_BODY;
+		replica.ending_key = CRASHING_KEY;
 		replica.on_ended = [this, &replica, p_service] {
 			_arrivals.push_back(event_loop::now());
 			// Its entry expires, and a replica with another name replaces it.
-			_later.emplace_back(_loop, [this, &replica, p_service] {
+			_replacement_timers.emplace_back(_loop, [this, &replica, p_service] {
 				_store.drop(ENDPOINT_TOPIC, replica.get_name());
-				add_ending(p_service, replica.zone);
+				add_crashing_replica(p_service, replica.zone);
 			});
-			_later.back().set(milliseconds(1200));
+			_replacement_timers.back().set(milliseconds(1200));
 		};
 		return replica;
 	}
@@ -56,7 +56,7 @@
 		configure(1);
 		for (const char *zone : { "a", "b", "c" }) {
 			for (int i = 0; i < p_engines_a_zone; i++) {
-				add_ending("llm", zone);
+				add_crashing_replica("llm", zone);
 			}
 		}
 		for (const char *zone : { "a", "b", "c" }) {
@@ -80,7 +80,7 @@
 	void send_in_turn(const std::string &p_path, duration p_time) {
 		const instant until = event_loop::now() + p_time;
 		for (std::size_t turn = 0; event_loop::now() < until; turn++) {
-			ask_content(*_gateways[turn % _gateways.size()], p_path, ENDING);
+			ask_content(*_gateways[turn % _gateways.size()], p_path, CRASHING_BODY);
 			wait(milliseconds(150));
 		}
 	}
@@ -89,8 +89,8 @@
 		if (_arrivals.size() <= CRASHES) {
 			return 0;
 		}
-		const instant held_back = _arrivals[CRASHES - 1] + HOLD_BACK_TIME;
-		return static_cast<std::size_t>(std::count_if(_arrivals.begin(), _arrivals.end(), [held_back](instant p_at) { return p_at > held_back; }));
+		const instant blocked_from = _arrivals[CRASHES - 1] + BLOCKING_DELAY;
+		return static_cast<std::size_t>(std::count_if(_arrivals.begin(), _arrivals.end(), [blocked_from](instant p_at) { return p_at > blocked_from; }));
 	}
 };
 
@@ -100,7 +100,7 @@
 	start_fleet();
 	send_in_turn("/stream/x", seconds(8));
 	EXPECT_GE(_arrivals.size(), CRASHES);
-	EXPECT_LE(count_late_arrivals(), SENDS_LEFT) << _arrivals.size() << " endpoints ended";
+	EXPECT_LE(count_late_arrivals(), MAX_LATE_ARRIVALS) << _arrivals.size() << " endpoints ended";
 	for (const std::unique_ptr<gateway> &node : _gateways) {
 		EXPECT_EQ(ask_content(*node, "/stream/x", "sound"), 200) << "others are served as ever";
 	}
@@ -152,8 +152,8 @@
 	send_in_turn("/stream/x", seconds(3));
 	ASSERT_GE(_arrivals.size(), CRASHES);
 	const std::size_t before = _arrivals.size();
-	gateway &newcomer = start_ready();
-	EXPECT_EQ(ask_content(newcomer, "/stream/x", ENDING), 503);
+	gateway &new_node = start_ready();
+	EXPECT_EQ(ask_content(new_node, "/stream/x", CRASHING_BODY), 503);
 	wait(milliseconds(500));
 	_gateways.clear();
 	start_ready();
@@ -171,7 +171,7 @@
 TEST_F(gateway_crash_test, nodes_that_are_linked_to_a_hub_alone_hear_of_each_other) {
 	configure(1);
 	for (int i = 0; i < 8; i++) {
-		add_ending("llm", "a");
+		add_crashing_replica("llm", "a");
 	}
 	_cores = 0.5;
 	start_ready();
@@ -182,13 +182,13 @@
 	wait(milliseconds(600));
 	send_in_turn("/stream/x", seconds(7));
 	EXPECT_GE(_arrivals.size(), CRASHES);
-	EXPECT_LE(count_late_arrivals(), SENDS_LEFT) << _arrivals.size() << " endpoints ended";
+	EXPECT_LE(count_late_arrivals(), MAX_LATE_ARRIVALS) << _arrivals.size() << " endpoints ended";
 }
 
 TEST_F(gateway_crash_test, a_refusal_says_that_it_did_not_run_and_when_it_may) {
 	start_fleet();
 	send_in_turn("/stream/x", seconds(3));
-	const std::shared_ptr<caller_result> result = send_content(*_gateways.front(), "/stream/x", ENDING);
+	const std::shared_ptr<caller_result> result = send_content(*_gateways.front(), "/stream/x", CRASHING_BODY);
 	run_until([&result] { return result->end.has_value(); });
 	EXPECT_EQ(result->head.status, 503);
 	const double after = std::stod(result->get("Retry-After"));
@@ -199,7 +199,7 @@
 TEST_F(gateway_crash_test, a_request_whose_pieces_end_replicas_of_a_stage_is_held_back_too) {
 	start_fleet(1);
 	for (const char *zone : { "a", "b", "c", "a", "b", "c" }) {
-		add_ending("encode", zone);
+		add_crashing_replica("encode", zone);
 	}
 	add_replica("search");
 	const auto send_staged = [this](const gateway &p_gateway, const std::string &p_key) {
@@ -214,12 +214,12 @@
 	std::vector<std::shared_ptr<caller_result>> others;
 	for (std::size_t turn = 0; event_loop::now() < until; turn++) {
 		others.push_back(send_staged(*_gateways[turn % _gateways.size()], "sound " + std::to_string(turn)));
-		const std::shared_ptr<caller_result> result = send_staged(*_gateways[turn % _gateways.size()], ENDING_KEY);
+		const std::shared_ptr<caller_result> result = send_staged(*_gateways[turn % _gateways.size()], CRASHING_KEY);
 		run_until([&result] { return result->end.has_value(); });
 		wait(milliseconds(150));
 	}
 	EXPECT_GE(_arrivals.size(), CRASHES);
-	EXPECT_LE(count_late_arrivals(), SENDS_LEFT) << _arrivals.size() << " replicas ended";
+	EXPECT_LE(count_late_arrivals(), MAX_LATE_ARRIVALS) << _arrivals.size() << " replicas ended";
 	run_until([&others] { return std::all_of(others.begin(), others.end(), [](const std::shared_ptr<caller_result> &p_result) { return p_result->end.has_value(); }); });
 	// One neighbour is sent with each of the first three requests; those that share a call with it fail with the replica.
 	const auto served = std::count_if(others.begin(), others.end(), [](const std::shared_ptr<caller_result> &p_result) { return p_result->body == WHOLE_STREAM; });
@@ -230,7 +230,7 @@
 	start_fleet();
 	send_in_turn("/safe/x", seconds(6));
 	EXPECT_GE(_arrivals.size(), CRASHES);
-	EXPECT_LE(count_late_arrivals(), SENDS_LEFT) << _arrivals.size() << " endpoints ended";
+	EXPECT_LE(count_late_arrivals(), MAX_LATE_ARRIVALS) << _arrivals.size() << " endpoints ended";
 }
 
 } // namespace calicoscale
