--- a/tests/main/gateway_era_test.cpp
+++ b/tests/main/gateway_era_test.cpp
@@ -131,30 +131,30 @@
 
 TEST_F(gateway_era_test, an_endpoint_that_left_does_not_come_back_with_the_copy) {
 	configure(1);
-	standin_replica &stays = add_replica("llm");
-	standin_replica &said_so = add_replica("llm");
-	standin_replica &went = add_replica("llm");
+	standin_replica &staying = add_replica("llm");
+	standin_replica &leaving = add_replica("llm");
+	standin_replica &removed = add_replica("llm");
 	gateway &entry = start_ready();
 	_store.take_copy();
-	list(said_so, true);
-	_store.drop(ENDPOINT_TOPIC, went.get_name());
+	list(leaving, true);
+	_store.drop(ENDPOINT_TOPIC, removed.get_name());
 	wait(milliseconds(2000));
-	const std::size_t before = said_so.runs.size() + went.runs.size();
+	const std::size_t before = leaving.runs.size() + removed.runs.size();
 	_store.come_back_from_copy();
 	wait(milliseconds(1300));
 	for (int i = 0; i < 12; i++) {
 		EXPECT_EQ(ask(entry, "/safe/")->head.status, 200);
 	}
-	EXPECT_EQ(said_so.runs.size() + went.runs.size(), before);
-	EXPECT_EQ(stays.runs.size(), 12U);
-	list(went);
+	EXPECT_EQ(leaving.runs.size() + removed.runs.size(), before);
+	EXPECT_EQ(staying.runs.size(), 12U);
+	list(removed);
 	// Unless this endpoint leaves, the others need not be chosen, as it has no running requests.
-	list(stays, true);
+	list(staying, true);
 	wait(milliseconds(2000));
 	for (int i = 0; i < 12; i++) {
 		EXPECT_EQ(ask(entry, "/safe/")->head.status, 200);
 	}
-	EXPECT_EQ(went.runs.size(), 12U) << "one that writes again lives";
+	EXPECT_EQ(removed.runs.size(), 12U) << "one that writes again lives";
 }
 
 TEST_F(gateway_era_test, a_node_that_is_told_readings_learns_of_the_copy_from_its_reader) {
