--- a/tests/main/gateway_evacuation_test.cpp
+++ b/tests/main/gateway_evacuation_test.cpp
@@ -18,7 +18,7 @@
 	void take_back(const std::string &p_zone) { _store.drop(CONFIGURATION_TOPIC, "evacuate/" + p_zone); }
 
 	/** Waits until a gateway has received an evacuation: at most one turn of the long-polling read and one heartbeat. */
-	void wait_for_news() { wait(milliseconds(700)); }
+	void wait_for_update() { wait(milliseconds(700)); }
 
 	/** Sends enough requests that each endpoint in use would receive one. */
 	void ask_often(const gateway &p_gateway, const std::string &p_path = "/safe/") {
@@ -42,13 +42,13 @@
 	standin_replica &far = add_replica("llm", "b");
 	gateway &entry = start_ready();
 	evacuate("a");
-	wait_for_news();
+	wait_for_update();
 	const std::size_t before = near.runs.size();
 	ask_often(entry);
 	EXPECT_EQ(near.runs.size(), before);
 	EXPECT_EQ(far.runs.size(), 12U);
 	take_back("a");
-	wait_for_news();
+	wait_for_update();
 	ask_often(entry);
 	EXPECT_GT(near.runs.size(), before);
 }
@@ -72,14 +72,14 @@
 	start_ready();
 	// Its store never answers, as if it refused this node.
 	other.set_away(true);
-	gateway &told = start_ready(other);
+	gateway &isolated = start_ready(other);
 	evacuate("a");
-	wait_for_news();
-	ask_often(told);
+	wait_for_update();
+	ask_often(isolated);
 	EXPECT_TRUE(near.runs.empty());
 	take_back("a");
-	wait_for_news();
-	ask_often(told);
+	wait_for_update();
+	ask_often(isolated);
 	EXPECT_FALSE(near.runs.empty());
 }
 
@@ -89,7 +89,7 @@
 	add_replica("llm", "b");
 	gateway &entry = start_ready();
 	evacuate("a");
-	wait_for_news();
+	wait_for_update();
 	_store.set_away(true);
 	wait(milliseconds(3500));
 	ask_often(entry);
@@ -132,7 +132,7 @@
 	const std::size_t made_near = encode_near.stage_items.size();
 	EXPECT_GT(made_near, 0U);
 	evacuate("a");
-	wait_for_news();
+	wait_for_update();
 	const std::size_t calls_near = search_near.stage_calls;
 	search_near.run_held_stages();
 	search_far.run_held_stages();
@@ -148,7 +148,7 @@
 	standin_replica &only = add_replica("llm", "a");
 	gateway &entry = start_ready();
 	evacuate("a");
-	wait_for_news();
+	wait_for_update();
 	const instant sent = event_loop::now();
 	const std::shared_ptr<caller_result> result = ask(entry, "/safe/");
 	EXPECT_LT(event_loop::now() - sent, duration(milliseconds(500)));
@@ -164,7 +164,7 @@
 	add_replica("search", "a");
 	gateway &entry = start_ready();
 	evacuate("a");
-	wait_for_news();
+	wait_for_update();
 	const std::shared_ptr<caller_result> result = send_staged(entry);
 	await(result);
 	EXPECT_EQ(result->head.status, 503);
@@ -179,13 +179,13 @@
 	gateway &entry = start_ready();
 	evacuate("a");
 	evacuate("b");
-	wait_for_news();
+	wait_for_update();
 	ask_often(entry);
 	EXPECT_TRUE(a.runs.empty());
 	EXPECT_TRUE(b.runs.empty());
 	EXPECT_EQ(c.runs.size(), 12U);
 	evacuate("c");
-	wait_for_news();
+	wait_for_update();
 	EXPECT_EQ(ask(entry, "/safe/")->head.status, 503);
 	EXPECT_EQ(c.runs.size(), 12U);
 	EXPECT_EQ(ask_ready(entry), 200) << "the node itself is not emptied";
@@ -200,7 +200,7 @@
 	evacuate("", "{}");
 	_store.put_raw(CONFIGURATION_TOPIC, "\x7f");
 	evacuate("a", "\xff not a document");
-	wait_for_news();
+	wait_for_update();
 	ask_often(entry);
 	EXPECT_TRUE(near.runs.empty());
 	EXPECT_EQ(far.runs.size(), 12U);
@@ -213,9 +213,9 @@
 	gateway &entry = start_ready();
 	evacuate("a");
 	configure(2);
-	wait_for_news();
+	wait_for_update();
 	_store.forget_history();
-	wait_for_news();
+	wait_for_update();
 	ask_often(entry);
 	EXPECT_TRUE(near.runs.empty());
 }
