--- a/tests/main/gateway_limits_test.cpp
+++ b/tests/main/gateway_limits_test.cpp
@@ -37,7 +37,7 @@
 	}
 
 	/** Sends requests at a constant rate to the nodes in turn, and waits until all are complete. */
-	void press(const std::string &p_path, duration p_time, int p_per_second, const std::string &p_headers = "") {
+	void send_evenly(const std::string &p_path, duration p_time, int p_per_second, const std::string &p_headers = "") {
 		const instant begin = event_loop::now();
 		for (int i = 0; i < p_per_second * static_cast<int>(std::chrono::duration_cast<seconds>(p_time).count()); i++) {
 			run_until([begin, i, p_per_second] { return event_loop::now() >= begin + milliseconds(1000 * i / p_per_second); });
@@ -60,7 +60,7 @@
 	limited.rate_limit = "1";
 	start_nodes(3);
 	const instant begin = event_loop::now();
-	press("/safe/", seconds(8), 20);
+	send_evenly("/safe/", seconds(8), 20);
 	EXPECT_LE(limited.get_most_arrivals(LIMIT_SPAN, begin + LIMIT_GRACE), get_allowed(1.0));
 	EXPECT_EQ(count_served(), 160U);
 	EXPECT_GE(free.runs.size(), 100U);
@@ -71,7 +71,7 @@
 	standin_replica &limited = add_replica("llm");
 	limited.rate_limit = "2";
 	start_nodes(3);
-	press("/safe/", seconds(8), 20);
+	send_evenly("/safe/", seconds(8), 20);
 	const instant last = limited.arrivals.back();
 	EXPECT_GE(limited.get_most_arrivals(LIMIT_SPAN, last - LIMIT_SPAN), 6U) << "of the eight that it takes";
 	EXPECT_LE(limited.get_most_arrivals(LIMIT_SPAN, limited.arrivals.front() + LIMIT_GRACE), get_allowed(2.0));
@@ -86,7 +86,7 @@
 	limited.rate_limit = "1";
 	start_nodes(2);
 	const instant begin = event_loop::now();
-	press("/stream/staged/x", seconds(8), 12, STAGED);
+	send_evenly("/stream/staged/x", seconds(8), 12, STAGED);
 	EXPECT_LE(limited.get_most_arrivals(LIMIT_SPAN, begin + LIMIT_GRACE), get_allowed(1.0));
 	EXPECT_EQ(count_served(), 96U);
 }
@@ -97,7 +97,7 @@
 	add_replica("llm");
 	start_nodes(2);
 	leaving.says_leaving = true;
-	press("/safe/", seconds(2), 20);
+	send_evenly("/safe/", seconds(2), 20);
 	EXPECT_EQ(count_served(), 40U);
 	EXPECT_FALSE(leaving.arrivals.empty()) << "somebody has to be told";
 	EXPECT_EQ(leaving.get_most_arrivals(seconds(60), leaving.arrivals.front() + milliseconds(500)), 0U);
@@ -111,10 +111,10 @@
 	add_replica("search");
 	start_nodes(2);
 	leaving.says_leaving = true;
-	press("/stream/staged/x", seconds(1), 12, STAGED);
+	send_evenly("/stream/staged/x", seconds(1), 12, STAGED);
 	EXPECT_GT(leaving.stage_calls, 0U) << "somebody has to be told";
 	const std::size_t before = leaving.stage_calls;
-	press("/stream/staged/x", seconds(2), 12, STAGED);
+	send_evenly("/stream/staged/x", seconds(2), 12, STAGED);
 	EXPECT_EQ(leaving.stage_calls, before);
 	EXPECT_EQ(count_served(), 36U);
 }
@@ -126,14 +126,14 @@
 	start_nodes(1);
 	resting.mode = replica_mode::SHED;
 	resting.retry_after = "3";
-	press("/safe/", seconds(2), 20);
+	send_evenly("/safe/", seconds(2), 20);
 	ASSERT_FALSE(resting.arrivals.empty());
 	const instant asked = resting.arrivals.front();
 	EXPECT_LE(resting.get_most_arrivals(seconds(60), asked + milliseconds(500)), 2U);
 	EXPECT_EQ(count_served(), 40U);
 	resting.mode = replica_mode::ANSWER;
 	run_until([asked] { return event_loop::now() > asked + milliseconds(3100); });
-	press("/safe/", seconds(2), 20);
+	send_evenly("/safe/", seconds(2), 20);
 	EXPECT_FALSE(resting.runs.empty()) << "it has rested";
 }
 
@@ -146,7 +146,7 @@
 	start_nodes(1);
 	resting.mode = replica_mode::SHED;
 	resting.retry_after = "3";
-	press("/stream/staged/x", seconds(2), 12, STAGED);
+	send_evenly("/stream/staged/x", seconds(2), 12, STAGED);
 	ASSERT_FALSE(resting.arrivals.empty());
 	EXPECT_LE(resting.get_most_arrivals(seconds(60), resting.arrivals.front() + milliseconds(500)), 2U);
 }
@@ -217,13 +217,13 @@
 	start_nodes(3);
 	wait(milliseconds(800));
 	limited.rate_limit = "1";
-	press("/safe/", seconds(2), 10);
+	send_evenly("/safe/", seconds(2), 10);
 	limited.rate_limit.clear();
 	wait(milliseconds(1100));
-	press("/safe/", seconds(1), 4);
+	send_evenly("/safe/", seconds(1), 4);
 	wait(milliseconds(500));
 	_sent.clear();
-	press("/safe/", seconds(2), 30);
+	send_evenly("/safe/", seconds(2), 30);
 	EXPECT_EQ(count_served(), 60U) << "also at nodes that had no place there";
 }
 
