--- a/tests/main/gateway_broken_answer_test.cpp
+++ b/tests/main/gateway_broken_answer_test.cpp
@@ -57,13 +57,13 @@
 		return start_ready();
 	}
 
-	void expect_broken_behind(const std::string &p_events, const std::string &p_answer) {
+	void expect_broken_after(const std::string &p_events, const std::string &p_answer) {
 		const std::shared_ptr<caller_result> result = ask(start_with(p_answer), "/stream/x");
 		EXPECT_EQ(result->end, channel_end::BROKEN);
 		EXPECT_EQ(result->body, p_events);
 	}
 
-	void expect_whole(const std::string &p_body) {
+	void expect_complete(const std::string &p_body) {
 		const std::shared_ptr<caller_result> result = ask(start_with(write_answer(framing::NONE, p_body)), "/stream/x");
 		EXPECT_EQ(result->end, channel_end::COMPLETE);
 		EXPECT_EQ(result->body, p_body);
@@ -79,24 +79,24 @@
 } // namespace
 
 TEST_F(gateway_broken_answer_test, a_stream_without_a_length_that_ends_behind_an_event_is_whole) {
-	expect_whole(WHOLE_STREAM);
+	expect_complete(WHOLE_STREAM);
 }
 
 // Guards against half an event in an answer that looks complete: the endpoint crashes, but its connection closes normally.
 TEST_F(gateway_broken_answer_test, a_stream_without_a_length_that_ends_inside_a_line_is_broken_off) {
-	expect_broken_behind(FIRST_EVENTS, write_answer(framing::NONE, FIRST_EVENTS + "id: 3\ndata: tok"));
+	expect_broken_after(FIRST_EVENTS, write_answer(framing::NONE, FIRST_EVENTS + "id: 3\ndata: tok"));
 }
 
 TEST_F(gateway_broken_answer_test, a_stream_without_a_length_whose_last_event_lacks_its_blank_line_is_broken_off) {
-	expect_broken_behind(FIRST_EVENTS, write_answer(framing::NONE, FIRST_EVENTS + "id: 3\ndata: token3\n"));
+	expect_broken_after(FIRST_EVENTS, write_answer(framing::NONE, FIRST_EVENTS + "id: 3\ndata: token3\n"));
 }
 
 TEST_F(gateway_broken_answer_test, a_stream_with_a_length_that_ends_inside_an_event_is_broken_off) {
-	expect_broken_behind(FIRST_EVENTS, write_answer(framing::LENGTH, FIRST_EVENTS + "id: 3\ndata: tok"));
+	expect_broken_after(FIRST_EVENTS, write_answer(framing::LENGTH, FIRST_EVENTS + "id: 3\ndata: tok"));
 }
 
 TEST_F(gateway_broken_answer_test, a_stream_in_chunks_that_ends_inside_an_event_is_broken_off) {
-	expect_broken_behind(FIRST_EVENTS, write_answer(framing::CHUNKS, FIRST_EVENTS + "id: 3\ndata: tok"));
+	expect_broken_after(FIRST_EVENTS, write_answer(framing::CHUNKS, FIRST_EVENTS + "id: 3\ndata: tok"));
 }
 
 TEST_F(gateway_broken_answer_test, half_of_the_first_event_alone_is_no_success) {
@@ -141,11 +141,11 @@
 }
 
 TEST_F(gateway_broken_answer_test, a_stream_whose_lines_end_with_carriage_returns_is_whole) {
-	expect_whole("id: 1\r\ndata: token1\r\n\r\nid: 2\rdata: token2\r\rid: 3\ndata: token3\n\r");
+	expect_complete("id: 1\r\ndata: token1\r\n\r\nid: 2\rdata: token2\r\rid: 3\ndata: token3\n\r");
 }
 
 TEST_F(gateway_broken_answer_test, a_stream_that_ends_with_a_comment_line_is_whole) {
-	expect_whole("\xEF\xBB\xBFid: 1\ndata: token1\n\n: end\n");
+	expect_complete("\xEF\xBB\xBFid: 1\ndata: token1\n\n: end\n");
 }
 
 TEST_F(gateway_broken_answer_test, a_plain_answer_on_a_streaming_route_is_not_read_as_events) {
