--- a/tests/main/gateway_crash_test.cpp
+++ b/tests/main/gateway_crash_test.cpp
@@ -18,9 +18,9 @@
  * Guards against a request that crashes each engine which begins to run it. Its caller receives 502 and sends it again, under a
  * new id, to another node. If nodes keep of a request only what its own exchange needs, and send each other nothing about
  * requests, each of them treats it as new each time: within six seconds eight engines of one service crashed, and a tenth of
- * the service's other requests failed with them. Such a request fails before its first event: each of 14 crashed engines had
- * lost a run of one customer before its first event, while all but one of the other runs lost with them had streamed. No
- * request was lost twice under one id. The addresses returned under other names, so the engines had crashed and not only
+ * the service's other requests failed with them. Each of 14 engines that crashed under a second such request had, as far as the logs
+ * reach, lost a run of one customer before its first event, while all but one of the other runs lost with them had streamed.
+ * No request was lost twice under one id. The addresses returned under other names, so the engines had crashed and not only
  * their connections.
  */
 class gateway_crash_test : public gateway_fixture {
--- a/tests/main/gateway_evacuation_test.cpp
+++ b/tests/main/gateway_evacuation_test.cpp
@@ -72,14 +72,14 @@
 	start_ready();
 	// Its store never answers, as if it refused this node.
 	other.set_away(true);
-	gateway &isolated = start_ready(other);
+	gateway &without_store = start_ready(other);
 	evacuate("a");
 	wait_for_update();
-	ask_often(isolated);
+	ask_often(without_store);
 	EXPECT_TRUE(near.runs.empty());
 	take_back("a");
 	wait_for_update();
-	ask_often(isolated);
+	ask_often(without_store);
 	EXPECT_FALSE(near.runs.empty());
 }
 
