--- a/drivers/endpoint_probe.h
+++ b/drivers/endpoint_probe.h
@@ -10,7 +10,7 @@
 #define ENDPOINT_PROBE_H
 
 #include "drivers/event_loop.h"
-#include "servers/gateway/lost_runs.h"
+#include "servers/gateway/interrupted_runs.h"
 #include "servers/routing/endpoint_state.h"
 
 #include <cstdint>
@@ -20,7 +20,7 @@
 
 namespace calicoscale {
 
-/** Opens connections that carry nothing and closes them as soon as they are accepted or refused. */
+/** Opens connections without sending data and closes them as soon as they are accepted or refused. */
 class endpoint_probe {
 	class probe;
 
--- a/main/gateway/evacuation_follower.cpp
+++ b/main/gateway/evacuation_follower.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: evacuation_follower.cpp
- * Keeps which availability zones are evacuated, from the store or from peers.
+ * Keeps the set of evacuated availability zones, as received from the store or from peers.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -16,20 +16,20 @@
 		_context(p_context),
 		_configuration(p_configuration),
 		_tick_timer(p_context.loop, [this] { _tick(); }) {
-	_configuration.topic_read().connect([this](const store_answer &p_answer, bool p_is_whole) { _take_answer(p_answer, p_is_whole); });
+	_configuration.topic_read().connect([this](const store_answer &p_answer, bool p_is_whole) { _apply_answer(p_answer, p_is_whole); });
 }
 
-void evacuation_follower::_take_answer(const store_answer &p_answer, bool p_is_whole) {
+void evacuation_follower::_apply_answer(const store_answer &p_answer, bool p_is_whole) {
 	if (p_is_whole) {
-		_table.take_whole(read_evacuated_zones(p_answer.records), log_position{ p_answer.era, p_answer.next_offset }, event_loop::now());
+		_table.apply_snapshot(read_evacuated_zones(p_answer.records), log_position{ p_answer.era, p_answer.next_offset }, event_loop::now());
 	} else {
-		_table.take_records(read_evacuations(p_answer.records, p_answer.next_offset - p_answer.records.size()), p_answer.era);
+		_table.apply_records(read_evacuations(p_answer.records, p_answer.next_offset - p_answer.records.size()), p_answer.era);
 	}
 	_publish("store");
 }
 
 void evacuation_follower::offer(const evacuation_state &p_state, const std::string &p_peer) {
-	if (_table.take_told(p_state, event_loop::now())) {
+	if (_table.apply_update(p_state, event_loop::now())) {
 		_publish("peer/" + p_peer);
 	}
 }
--- a/main/gateway/gateway_context.h
+++ b/main/gateway/gateway_context.h
@@ -1,6 +1,6 @@
 /*
  * calicoscale: gateway_context.h
- * What the services of one gateway share.
+ * Objects that the services of one gateway share.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -16,18 +16,18 @@
 #include "main/gateway/gateway_settings.h"
 #include "main/node_metrics.h"
 #include "platform/store_client.h"
-#include "servers/gateway/zone_reach.h"
+#include "servers/gateway/zone_reachability.h"
 
 namespace calicoscale {
 
-/** Parts every service of a gateway uses; owned by the gateway, passed by reference. */
+/** Objects that every service of a gateway uses. The gateway owns them and passes them by reference. */
 struct gateway_context {
 	event_loop &loop;
 	const gateway_settings settings;
 	std::uint64_t incarnation;
 	random_source random;
 	endpoint_channels channels;
-	zone_reach zones;
+	zone_reachability zones;
 	event_log log;
 	store_client store;
 	node_metrics metrics;
--- a/main/gateway/gateway_fleet.cpp
+++ b/main/gateway/gateway_fleet.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: gateway_fleet.cpp
- * This gateway among the others: links, heartbeats, configuration and leaving endpoints.
+ * This node's view of the other gateway nodes: links, heartbeats, configuration and leaving endpoints.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -16,18 +16,18 @@
 
 namespace {
 
-/** A cut-off zone is noticed within this after its silence is long enough. */
+/** Interval of liveness checks. An unreachable zone is detected at most this long after its silence reaches the limit. */
 constexpr duration WATCH_INTERVAL = std::chrono::milliseconds(50);
-/** A node that restarts is back in about a second; others should not wait much longer to reach it. */
-constexpr duration LONGEST_BACK_OFF = std::chrono::milliseconds(1000);
-/** Hubs repeat some of what they know of others each so many beats, so that nodes without a link to each other do not forget. */
-constexpr int BEATS_PER_RUMOUR = 5;
-/** A node that becomes a hub, also one that starts, hears of the others and links to them within this. */
-constexpr duration MEETING_TIME = std::chrono::milliseconds(300);
-/** A link that work needed is kept longer than results live, as the release of a node's results goes over it. */
-constexpr duration KEPT_TIME = std::chrono::seconds(15);
-/** Names in a line of the log. */
-constexpr std::size_t MOST_LOGGED_NODES = 24;
+/** Maximum pause between attempts to connect. A node restarts in about a second, and peers should reach it soon afterwards. */
+constexpr duration MAX_BACK_OFF = std::chrono::milliseconds(1000);
+/** Heartbeats between two relays of digests by a hub. Without them, nodes that have no link to each other would forget each other. */
+constexpr int HEARTBEATS_PER_RELAY = 5;
+/** Time in which a new hub, which may be a node that has just started, learns of the other hubs and links to them. */
+constexpr duration HUB_DISCOVERY_TIME = std::chrono::milliseconds(300);
+/** Time for which a link is kept after stage work used it. Longer than the lifetime of results, as their release is sent over it. */
+constexpr duration WORK_LINK_LIFETIME = std::chrono::seconds(15);
+/** Maximum number of node names in a log line. */
+constexpr std::size_t MAX_LOGGED_NODES = 24;
 
 bool contains(const std::vector<std::string> &p_names, const std::string &p_name) {
 	return std::find(p_names.begin(), p_names.end(), p_name) != p_names.end();
@@ -35,7 +35,7 @@
 
 std::string join(const std::vector<std::string> &p_names) {
 	std::string text;
-	for (std::size_t i = 0; i < std::min(p_names.size(), MOST_LOGGED_NODES); i++) {
+	for (std::size_t i = 0; i < std::min(p_names.size(), MAX_LOGGED_NODES); i++) {
 		text += (text.empty() ? "" : ",") + p_names[i];
 	}
 	return text;
@@ -48,23 +48,23 @@
 		_configuration(p_configuration),
 		_endpoints(p_endpoints),
 		_evacuations(p_evacuations),
-		_link(p_context.loop, p_context.settings.link_address, link_identity{ p_context.settings.vm, p_context.incarnation, p_context.settings.fleet_key, LONGEST_BACK_OFF, p_context.settings.mechanisms.has(mechanism::ASKED_LISTS) }),
+		_link(p_context.loop, p_context.settings.link_address, link_identity{ p_context.settings.vm, p_context.incarnation, p_context.settings.fleet_key, MAX_BACK_OFF, p_context.settings.mechanisms.has(mechanism::REQUESTED_LISTS) }),
 		_members(member_digest{ p_context.settings.vm, p_context.incarnation, 0, p_context.settings.zone, p_context.settings.region, _link.get_address(), network_address(), false, false, 0, {}, p_context.settings.cores }),
 		_overlay(p_context.settings.vm, p_context.settings.zone),
-		_store(p_context, p_configuration, p_endpoints, _link, store_sharing_hooks{ [this](const std::string &p_vm) { return is_heard(p_vm); }, [this](const std::string &p_vm) { return _is_in_own_zone(p_vm); }, [this] { _collect_news(); } }),
-		_help(p_configuration, p_endpoints, _link, p_context.settings.link_bytes),
-		_beat_timer(p_context.loop, [this] { _beat(); }),
+		_store(p_context, p_configuration, p_endpoints, _link, store_sharing_hooks{ [this](const std::string &p_vm) { return is_responsive(p_vm); }, [this](const std::string &p_vm) { return _is_in_own_zone(p_vm); }, [this] { _collect_updates(); } }),
+		_bootstrap(p_configuration, p_endpoints, _link, p_context.settings.link_bytes),
+		_heartbeat_timer(p_context.loop, [this] { _send_due_heartbeats(); }),
 		_watch_timer(p_context.loop, [this] { _watch(); }) {
 	_link.heartbeat_received().connect([this](const std::string &p_vm, const heartbeat_message &p_message) { _on_heartbeat(p_vm, p_message); });
 	_link.link_up().connect([this](const std::string &p_vm) { _on_link_up(p_vm); });
 	_link.link_down().connect([this](const std::string &p_vm) { _on_link_down(p_vm); });
-	_link.endpoints_declined().connect([this](const std::string &) { _ask_for_list(); });
-	_configuration.changed().connect([this] { _send_heartbeats(beat_scope::CLOSE); });
-	_evacuations.changed().connect([this](const evacuation_change &) { _send_heartbeats(beat_scope::CLOSE); });
+	_link.endpoints_declined().connect([this](const std::string &) { _request_list(); });
+	_configuration.changed().connect([this] { _send_heartbeats(heartbeat_scope::CLOSE); });
+	_evacuations.changed().connect([this](const evacuation_change &) { _send_heartbeats(heartbeat_scope::CLOSE); });
 }
 
 void gateway_fleet::start() {
-	_beat();
+	_send_due_heartbeats();
 	_watch();
 }
 
@@ -75,7 +75,7 @@
 	}
 	_dispatchers_logged = std::move(nodes);
 	const std::size_t heard = get_live_nodes().size() - (_leaving ? 0 : 1);
-	_context.log.write(log_line("dispatchers").add("count", static_cast<long long>(_dispatchers_logged.size())).add("self", contains(_dispatchers_logged, get_vm()) ? "yes" : "no").add("is_hub", _plan.is_hub ? "yes" : "no").add("known", static_cast<long long>(_members.get_members().size())).add("heard", static_cast<long long>(heard)).add("links", static_cast<long long>(_link.get_linked().size())).add("relies_on", get_relied_on()).add("nodes", join(_dispatchers_logged)));
+	_context.log.write(log_line("dispatchers").add("count", static_cast<long long>(_dispatchers_logged.size())).add("self", contains(_dispatchers_logged, get_vm()) ? "yes" : "no").add("is_hub", _plan.is_hub ? "yes" : "no").add("known", static_cast<long long>(_members.get_members().size())).add("heard", static_cast<long long>(heard)).add("links", static_cast<long long>(_link.get_linked().size())).add("relies_on", get_followed_hub()).add("nodes", join(_dispatchers_logged)));
 }
 
 void gateway_fleet::_watch() {
@@ -86,42 +86,42 @@
 	}
 	_context.zones.check(event_loop::now());
 	if (_knows_hubs) {
-		_set_unreached_zones(_context.zones.get_unreached());
+		_set_unreachable_zones(_context.zones.get_unreachable());
 	}
 }
 
-void gateway_fleet::_set_unreached_zones(std::set<std::string> p_zones) {
-	if (p_zones == _unreached_zones) {
+void gateway_fleet::_set_unreachable_zones(std::set<std::string> p_zones) {
+	if (p_zones == _unreachable_zones) {
 		return;
 	}
 	for (const std::string &zone : p_zones) {
-		if (!_unreached_zones.contains(zone)) {
+		if (!_unreachable_zones.contains(zone)) {
 			_context.log.write(log_line("zone_cut_off").add("zone", zone).add("source", _knows_hubs ? "this node" : "peer/" + _store.get_reader()));
 		}
 	}
-	for (const std::string &zone : _unreached_zones) {
+	for (const std::string &zone : _unreachable_zones) {
 		if (!p_zones.contains(zone)) {
 			_context.log.write(log_line("zone_reached").add("zone", zone).add("source", _knows_hubs ? "this node" : "peer/" + _store.get_reader()));
 		}
 	}
-	_unreached_zones = std::move(p_zones);
+	_unreachable_zones = std::move(p_zones);
 	if (_plan.is_hub) {
-		_send_heartbeats(beat_scope::CLOSE);
+		_send_heartbeats(heartbeat_scope::CLOSE);
 	}
-	_note_changes();
-	_reach_changed.emit(_unreached_zones);
+	_update_liveness();
+	_reach_changed.emit(_unreachable_zones);
 }
 
-bool gateway_fleet::_is_heard(const std::string &p_vm, instant p_now) const {
-	if (!_contacts.is_heard(p_vm, p_now) || !_link.is_linked(p_vm) || _told.is_lost(p_vm)) {
+bool gateway_fleet::_is_responsive(const std::string &p_vm, instant p_now) const {
+	if (!_contacts.is_responsive(p_vm, p_now) || !_link.is_linked(p_vm) || _reported.is_lost(p_vm)) {
 		return false;
 	}
 	const member *peer = _members.find(p_vm);
 	if (peer == nullptr || !_context.settings.mechanisms.has(mechanism::ZONE_SILENCE)) {
 		return true;
 	}
-	// A node that is no hub hears too little of other zones to judge their silence, and so does one that has just become one.
-	return _knows_hubs ? _context.zones.is_reached(peer->digest.zone, p_now) : !_unreached_zones.contains(peer->digest.zone);
+	// Only an established hub receives enough from other zones to judge their silence.
+	return _knows_hubs ? _context.zones.is_reached(peer->digest.zone, p_now) : !_unreachable_zones.contains(peer->digest.zone);
 }
 
 std::vector<std::string> gateway_fleet::get_live_nodes() const {
@@ -131,7 +131,7 @@
 		nodes.push_back(get_vm());
 	}
 	for (const auto &[vm, entry] : _members.get_members()) {
-		if (!entry.digest.leaving && _is_heard(vm, now)) {
+		if (!entry.digest.leaving && _is_responsive(vm, now)) {
 			nodes.push_back(vm);
 		}
 	}
@@ -141,7 +141,7 @@
 void gateway_fleet::set_ready(bool p_ready) {
 	if (p_ready != _ready) {
 		_ready = p_ready;
-		_send_heartbeats(beat_scope::CLOSE);
+		_send_heartbeats(heartbeat_scope::CLOSE);
 	}
 }
 
@@ -154,12 +154,12 @@
 			if (_ready && !_leaving) {
 				nodes.push_back(overlay_node{ vm, _context.settings.zone, _context.settings.cores });
 			}
-		} else if (peer != nullptr && peer->digest.ready && !peer->digest.leaving && _is_heard(vm, now)) {
+		} else if (peer != nullptr && peer->digest.ready && !peer->digest.leaving && _is_responsive(vm, now)) {
 			nodes.push_back(overlay_node{ vm, peer->digest.zone, peer->digest.cores });
 		}
 	}
 	if (_context.settings.mechanisms.has(mechanism::DISPATCH_BY_SIZE)) {
-		nodes = keep_larger(std::move(nodes));
+		nodes = select_large_nodes(std::move(nodes));
 	}
 	std::vector<std::string> names;
 	names.reserve(nodes.size());
@@ -175,23 +175,23 @@
 		return _find_dispatchers();
 	}
 	const instant now = event_loop::now();
-	std::vector<std::string> nodes = _told.get_dispatchers();
+	std::vector<std::string> nodes = _reported.get_dispatchers();
 	std::erase_if(nodes, [this, now](const std::string &p_vm) {
 		const member *peer = _members.find(p_vm);
-		const bool is_silent = (_link.is_linked(p_vm) || _told.is_down(p_vm, now)) && !_is_heard(p_vm, now);
-		return is_silent || _told.is_lost(p_vm) || (peer != nullptr && peer->digest.leaving);
+		const bool is_silent = (_link.is_linked(p_vm) || _reported.is_down(p_vm, now)) && !_is_responsive(p_vm, now);
+		return is_silent || _reported.is_lost(p_vm) || (peer != nullptr && peer->digest.leaving);
 	});
 	return nodes;
 }
 
 bool gateway_fleet::knows_fleet() const {
 	if (!_plan.is_hub) {
-		return !_told.get_dispatchers().empty();
+		return !_reported.get_dispatchers().empty();
 	}
 	const instant now = event_loop::now();
 	std::size_t heard = 0;
 	for (const auto &[vm, entry] : _members.get_members()) {
-		if (entry.digest.leaving || !_is_heard(vm, now)) {
+		if (entry.digest.leaving || !_is_responsive(vm, now)) {
 			continue;
 		}
 		if (!entry.digest.ready) {
@@ -206,7 +206,7 @@
 	const instant now = event_loop::now();
 	std::uint32_t count = _leaving ? 0 : 1;
 	for (const auto &[vm, entry] : _members.get_members()) {
-		count += entry.digest.zone == _context.settings.zone && !entry.digest.leaving && _is_heard(vm, now) ? 1 : 0;
+		count += entry.digest.zone == _context.settings.zone && !entry.digest.leaving && _is_responsive(vm, now) ? 1 : 0;
 	}
 	return count;
 }
@@ -216,7 +216,7 @@
 	std::map<std::string, std::uint32_t> by_zone{ { _context.settings.zone, _count_zone() } };
 	for (const auto &[vm, count] : _zone_nodes) {
 		const member *hub = _members.find(vm);
-		if (hub != nullptr && _is_heard(vm, now)) {
+		if (hub != nullptr && _is_responsive(vm, now)) {
 			std::uint32_t &zone_count = by_zone[hub->digest.zone];
 			zone_count = std::max(zone_count, count);
 		}
@@ -229,8 +229,8 @@
 }
 
 std::size_t gateway_fleet::get_live_count() const {
-	const std::size_t told = _plan.is_hub ? 0 : _told.get_nodes();
-	return std::max<std::size_t>({ 1, told, _plan.is_hub ? _count_fleet() : get_live_nodes().size() });
+	const std::size_t reported = _plan.is_hub ? 0 : _reported.get_nodes();
+	return std::max<std::size_t>({ 1, reported, _plan.is_hub ? _count_fleet() : get_live_nodes().size() });
 }
 
 std::vector<std::string> gateway_fleet::get_zone_nodes() const {
@@ -247,7 +247,7 @@
 }
 
 void gateway_fleet::keep_link(const std::string &p_vm) {
-	_kept_until[p_vm] = event_loop::now() + KEPT_TIME;
+	_kept_until[p_vm] = event_loop::now() + WORK_LINK_LIFETIME;
 	const member *peer = _members.find(p_vm);
 	if (peer != nullptr && !_link.is_linked(p_vm)) {
 		_link.dial(p_vm, peer->digest.link);
@@ -265,24 +265,24 @@
 	return hubs;
 }
 
-void gateway_fleet::_beat() {
+void gateway_fleet::_send_due_heartbeats() {
 	const activity_scope scope(_context.loop, activity::HEARTBEATS_SENT);
 	const instant now = event_loop::now();
 	_members.tick(now);
 	std::erase_if(_kept_until, [now](const auto &p_entry) { return p_entry.second < now; });
 	_plan_links();
 	_store.use_names(_plan.is_hub);
-	_endpoints.drop_told();
-	_collect_news();
-	_send_heartbeats(beat_scope::DUE);
-	_note_changes();
-	_ask_for_list();
-	_beat_timer.set(peer_contacts::get_interval(true));
+	_endpoints.drop_reported_removals();
+	_collect_updates();
+	_send_heartbeats(heartbeat_scope::DUE);
+	_update_liveness();
+	_request_list();
+	_heartbeat_timer.set(peer_contacts::get_interval(true));
 }
 
 void gateway_fleet::_plan_links() {
 	const instant now = event_loop::now();
-	// A hub that stops is one to the end, as others still wait for what it has.
+	// A stopping hub remains a hub until it exits, as other nodes still wait for its data.
 	std::vector<overlay_node> nodes{ overlay_node{ get_vm(), _context.settings.zone, _context.settings.cores } };
 	for (const auto &[vm, entry] : _members.get_members()) {
 		if (entry.state != member_state::GONE && entry.digest.link.port != 0 && !entry.digest.leaving) {
@@ -292,22 +292,22 @@
 	const bool was_hub = _plan.is_hub;
 	const bool has_followers = !_contacts.get_followers(now).empty();
 	_plan = _overlay.plan(
-			nodes, [this, now](const std::string &p_vm) { return _is_heard(p_vm, now); }, has_followers, now);
+			nodes, [this, now](const std::string &p_vm) { return _is_responsive(p_vm, now); }, has_followers, now);
 	if (_plan.is_hub != was_hub) {
 		_hub_since = now;
 		_knows_hubs = false;
 		_members.set_hub(_plan.is_hub);
 		_context.log.write(log_line("hub").add("zone", _context.settings.zone).add("is_hub", _plan.is_hub ? "yes" : "no").add("known", static_cast<long long>(nodes.size())).add("links", static_cast<long long>(_link.get_linked().size())));
 	}
-	if (_plan.is_hub && !_knows_hubs && _plan.is_settled && now - _hub_since >= MEETING_TIME) {
+	if (_plan.is_hub && !_knows_hubs && _plan.is_settled && now - _hub_since >= HUB_DISCOVERY_TIME) {
 		_knows_hubs = true;
 		_context.log.write(log_line("hubs_known").add("zone", _context.settings.zone).add("known", static_cast<long long>(nodes.size())).add("links", static_cast<long long>(_link.get_linked().size())).add("hubs", join(_plan.hubs)));
-		for (const beat_part &part : _parts) {
+		for (const heartbeat_section &part : _parts) {
 			part.on_hubs_known();
 		}
 	}
 	_is_starting = get_dispatch_nodes().empty();
-	if (_help.needs_list() || !_configuration.get_current()) {
+	if (_bootstrap.needs_list() || !_configuration.get_current()) {
 		std::erase_if(nodes, [this](const overlay_node &p_node) { return p_node.zone != _context.settings.zone; });
 		_store.set_zone_nodes(nodes);
 	}
@@ -319,7 +319,7 @@
 
 void gateway_fleet::_dial() {
 	if (_link.get_linked().empty() && !_context.settings.peers.empty()) {
-		// One at a time, so that a fleet that starts does not ask all of its seeds at once.
+		// Dials one seed at a time, so that a starting fleet does not connect to all of its seeds at once.
 		const network_address &seed = _context.settings.peers[_next_seed++ % _context.settings.peers.size()];
 		if (!(seed == _link.get_address()) && _link.dial_unnamed(seed)) {
 			_context.log.write(log_line("seed_dialled").add("seed", to_string(seed)));
@@ -332,18 +332,18 @@
 	}
 }
 
-void gateway_fleet::_ask_for_list() {
-	if (!_help.needs_list() || !_context.settings.mechanisms.has(mechanism::ASKED_LISTS)) {
+void gateway_fleet::_request_list() {
+	if (!_bootstrap.needs_list() || !_context.settings.mechanisms.has(mechanism::REQUESTED_LISTS)) {
 		return;
 	}
-	std::vector<list_teller> tellers;
+	std::vector<list_source> list_sources;
 	for (const std::string &vm : _link.get_linked()) {
 		const member *peer = _members.find(vm);
 		if (peer != nullptr && peer->digest.ready && !peer->digest.leaving) {
-			tellers.push_back(list_teller{ vm, peer->digest.zone == _context.settings.zone, peer->digest.cores });
+			list_sources.push_back(list_source{ vm, peer->digest.zone == _context.settings.zone, peer->digest.cores });
 		}
 	}
-	_help.ask_for_list(tellers, _context.random.get_unit());
+	_bootstrap.request_list(list_sources, _context.random.get_unit());
 }
 
 bool gateway_fleet::_is_in_own_zone(const std::string &p_vm) const {
@@ -351,16 +351,16 @@
 	return peer == nullptr ? p_vm == get_vm() : peer->digest.zone == _context.settings.zone;
 }
 
-void gateway_fleet::_collect_news() {
+void gateway_fleet::_collect_updates() {
 	const instant now = event_loop::now();
-	for (const endpoint_identity &endpoint : _endpoints.get_directory().take_news()) {
-		_contacts.add_news(endpoint_news{ endpoint, false }, now);
+	for (const endpoint_identity &endpoint : _endpoints.get_directory().take_updates()) {
+		_contacts.add_update(endpoint_update{ endpoint, false }, now);
 	}
-	for (const endpoint_identity &endpoint : _endpoints.get_directory().take_gone()) {
-		_contacts.add_news(endpoint_news{ endpoint, true }, now);
+	for (const endpoint_identity &endpoint : _endpoints.get_directory().take_removed()) {
+		_contacts.add_update(endpoint_update{ endpoint, true }, now);
 	}
-	const auto is_back = [this](const endpoint_news &p_news) { return p_news.is_gone && _endpoints.get_directory().contains_start(p_news.endpoint); };
-	_contacts.forget_news(is_back, now);
+	const auto is_back = [this](const endpoint_update &p_update) { return p_update.is_gone && _endpoints.get_directory().contains_start(p_update.endpoint); };
+	_contacts.expire_updates(is_back, now);
 }
 
 gateway_fleet::peer_role gateway_fleet::_get_role(const std::string &p_vm, instant p_now) const {
@@ -371,50 +371,51 @@
 	peer_role role;
 	role.is_mesh = _plan.is_hub && is_hub_peer;
 	role.is_follower = relies_on_me || (_plan.is_hub && is_own_zone && !is_hub_peer);
-	role.is_relied_on = p_vm == get_relied_on();
+	role.is_relied_on = p_vm == get_followed_hub();
 	const bool is_wanted = contains(_plan.wanted, p_vm) || _kept_until.contains(p_vm) || _contacts.is_wanted(p_vm, p_now);
 	role.is_needed = role.is_mesh || role.is_follower || role.is_relied_on || is_wanted || _is_starting;
 	role.is_close = role.is_mesh || relies_on_me || role.is_relied_on || _is_starting;
-	role.hears_news = role.is_mesh || is_own_zone;
+	role.receives_updates = role.is_mesh || is_own_zone;
 	return role;
 }
 
-gateway_fleet::beat_texts gateway_fleet::_make_texts(bool p_with_rumours) {
+gateway_fleet::heartbeat_drafts gateway_fleet::_make_heartbeat_drafts(bool p_with_relayed_digests) {
 	_members.update_self(_ready, _leaving, _configuration.get_version(), {});
-	beat_texts texts;
-	std::vector<member_digest> digests = p_with_rumours ? _members.make_heartbeat() : _members.make_own_heartbeat();
+	heartbeat_drafts texts;
+	std::vector<member_digest> digests = p_with_relayed_digests ? _members.make_heartbeat() : _members.make_own_heartbeat();
 	texts.plain.digests = { digests.front() };
-	texts.rumours.assign(digests.begin() + 1, digests.end());
+	texts.relayed_digests.assign(digests.begin() + 1, digests.end());
 	texts.plain.follows = _configuration.is_following();
 	texts.plain.evacuations = _evacuations.get_state();
-	const beat_sender sender{ _plan.is_hub, _knows_hubs };
-	for (const beat_part &part : _parts) {
-		part.write(beat_peer::OTHER, sender, texts.plain);
+	const heartbeat_sender sender{ _plan.is_hub, _knows_hubs };
+	for (const heartbeat_section &part : _parts) {
+		part.write(heartbeat_peer::OTHER, sender, texts.plain);
 	}
 	texts.to_hub = texts.plain;
 	texts.to_hub.zone_nodes = _plan.is_hub ? _count_zone() : 0;
 	texts.to_follower = texts.plain;
-	for (const beat_part &part : _parts) {
-		part.write(beat_peer::HUB, sender, texts.to_hub);
-		part.write(beat_peer::FOLLOWER, sender, texts.to_follower);
+	for (const heartbeat_section &part : _parts) {
+		part.write(heartbeat_peer::HUB, sender, texts.to_hub);
+		part.write(heartbeat_peer::FOLLOWER, sender, texts.to_follower);
 	}
-	// A hub that has just started hears some of the others only; told of these, its followers took the rest for lost.
+	// A hub that has just started has contact with only some of the others. If it reported just these, its followers would assume that
+	// the others had failed.
 	if (!_knows_hubs) {
 		return texts;
 	}
 	texts.to_follower.is_total = true;
 	texts.to_follower.fleet_nodes = _count_fleet();
 	texts.to_follower.dispatchers = _find_dispatchers();
-	texts.to_follower.unreached_zones.assign(_unreached_zones.begin(), _unreached_zones.end());
+	texts.to_follower.unreached_zones.assign(_unreachable_zones.begin(), _unreachable_zones.end());
 	return texts;
 }
 
-void gateway_fleet::_add_members(const std::string &p_vm, const beat_texts &p_texts, heartbeat_message &r_message) {
+void gateway_fleet::_add_members(const std::string &p_vm, const heartbeat_drafts &p_texts, heartbeat_message &r_message) {
 	const member *peer = _members.find(p_vm);
 	if (peer == nullptr) {
 		return;
 	}
-	// A node needs to know those that may become hubs of its own zone, and the hubs of others, whose dispatchers it works with.
+	// A node needs to know the possible hubs of its own zone, and the hubs of other zones, whose dispatchers it works with.
 	const auto is_of_use = [this, peer](const std::string &p_other) {
 		const member *other = _members.find(p_other);
 		return other != nullptr && (peer->digest.hub || other->digest.hub || other->digest.zone == peer->digest.zone);
@@ -422,10 +423,10 @@
 	for (const std::string &vm : _feed.take(p_vm, is_of_use)) {
 		r_message.digests.push_back(_members.find(vm)->digest);
 	}
-	r_message.digests.insert(r_message.digests.end(), p_texts.rumours.begin(), p_texts.rumours.end());
+	r_message.digests.insert(r_message.digests.end(), p_texts.relayed_digests.begin(), p_texts.relayed_digests.end());
 }
 
-void gateway_fleet::_send_heartbeat(const std::string &p_vm, const peer_role &p_role, const beat_texts &p_texts) {
+void gateway_fleet::_send_heartbeat(const std::string &p_vm, const peer_role &p_role, const heartbeat_drafts &p_texts) {
 	heartbeat_message message = p_texts.plain;
 	if (p_role.is_mesh || p_role.is_relied_on) {
 		message = p_texts.to_hub;
@@ -433,20 +434,20 @@
 		message = p_texts.to_follower;
 	}
 	if (p_role.is_relied_on) {
-		for (const beat_part &part : _parts) {
+		for (const heartbeat_section &part : _parts) {
 			part.on_told_hub(message);
 		}
 	}
 	message.relies_on_you = p_role.is_relied_on;
-	// Until a hub is heard, any link may be the one that tells of it.
+	// Until a hub is responsive, any link may be the one that reports it.
 	message.wants_link = p_role.is_relied_on || contains(_plan.wanted, p_vm) || _kept_until.contains(p_vm) || _is_starting;
 	message.next_in = peer_contacts::get_interval(p_role.is_close);
 	_add_members(p_vm, p_texts, message);
-	for (const endpoint_news &news : _contacts.on_sent(p_vm, p_role.is_close, p_role.hears_news, event_loop::now())) {
-		if (news.is_gone) {
-			message.gone.push_back(news.endpoint);
+	for (const endpoint_update &update : _contacts.on_sent(p_vm, p_role.is_close, p_role.receives_updates, event_loop::now())) {
+		if (update.is_gone) {
+			message.gone.push_back(update.endpoint);
 		} else {
-			message.marks.push_back(leaving_mark{ news.endpoint.vm, news.endpoint.incarnation });
+			message.marks.push_back(leaving_mark{ update.endpoint.vm, update.endpoint.incarnation });
 		}
 	}
 	_context.metrics.count("heartbeats_sent");
@@ -454,14 +455,14 @@
 	_link.send(p_vm, message);
 }
 
-void gateway_fleet::_send_heartbeats(beat_scope p_scope) {
+void gateway_fleet::_send_heartbeats(heartbeat_scope p_scope) {
 	const instant now = event_loop::now();
-	const bool has_rumours = p_scope == beat_scope::DUE && _beats++ % BEATS_PER_RUMOUR == 0;
-	const beat_texts texts = _make_texts(has_rumours);
+	const bool has_rumours = p_scope == heartbeat_scope::DUE && _heartbeat_count++ % HEARTBEATS_PER_RELAY == 0;
+	const heartbeat_drafts texts = _make_heartbeat_drafts(has_rumours);
 	for (const std::string &vm : _link.get_linked()) {
 		const peer_role role = _get_role(vm, now);
-		const bool is_due = role.is_needed && _contacts.is_due(vm, role.is_close, role.hears_news, now);
-		if (p_scope == beat_scope::ALL || (p_scope == beat_scope::CLOSE && role.is_close) || (p_scope == beat_scope::DUE && is_due)) {
+		const bool is_due = role.is_needed && _contacts.is_due(vm, role.is_close, role.receives_updates, now);
+		if (p_scope == heartbeat_scope::ALL || (p_scope == heartbeat_scope::CLOSE && role.is_close) || (p_scope == heartbeat_scope::DUE && is_due)) {
 			_send_heartbeat(vm, role, texts);
 		}
 	}
@@ -474,14 +475,14 @@
 	}
 	_feed.restart(p_vm);
 	_greeted.erase(p_vm);
-	_told.on_heard(p_vm);
-	_send_heartbeat(p_vm, _get_role(p_vm, event_loop::now()), _make_texts(false));
+	_reported.on_contact(p_vm);
+	_send_heartbeat(p_vm, _get_role(p_vm, event_loop::now()), _make_heartbeat_drafts(false));
 }
 
 void gateway_fleet::_on_link_down(const std::string &p_vm) {
-	_told.on_link_down(p_vm, event_loop::now());
-	_set_lost(p_vm, peer_loss::LINK_BROKEN);
-	if (p_vm == get_relied_on() || _plan.is_hub) {
+	_reported.on_link_down(p_vm, event_loop::now());
+	_set_failed(p_vm, peer_loss::LINK_BROKEN);
+	if (p_vm == get_followed_hub() || _plan.is_hub) {
 		_plan_links();
 	}
 }
@@ -494,7 +495,7 @@
 	}
 }
 
-void gateway_fleet::_set_lost(const std::string &p_vm, peer_loss p_cause) {
+void gateway_fleet::_set_failed(const std::string &p_vm, peer_loss p_cause) {
 	bool &was_live = _was_live[p_vm];
 	if (!was_live) {
 		return;
@@ -502,7 +503,7 @@
 	was_live = false;
 	const bool is_needed = _get_role(p_vm, event_loop::now()).is_needed;
 	_context.log.write(log_line("peer_lost").add("vm", p_vm).add("leaving", _is_leaving(p_vm) ? "yes" : "no").add("cause", get_name(p_cause)).add("needed", is_needed ? "yes" : "no"));
-	for (const beat_part &part : _parts) {
+	for (const heartbeat_section &part : _parts) {
 		part.on_lost(p_vm);
 	}
 	_zone_nodes.erase(p_vm);
@@ -514,17 +515,18 @@
 	return peer != nullptr && peer->digest.leaving;
 }
 
-void gateway_fleet::_note_changes() {
+void gateway_fleet::_update_liveness() {
 	const instant now = event_loop::now();
 	for (const auto &[vm, entry] : _members.get_members()) {
-		// A node that stops still ends what was handed to it, and waits for what it handed over: it is lost when it is silent.
-		if (_is_heard(vm, now)) {
+		// A stopping node still completes work assigned to it and waits for work that it assigned, so it counts as failed only once it
+		// is silent.
+		if (_is_responsive(vm, now)) {
 			_set_live(vm);
 		} else {
-			_set_lost(vm, peer_loss::SILENT);
+			_set_failed(vm, peer_loss::SILENT);
 		}
 	}
-	for (const std::string &vm : _contacts.get_dead(now)) {
+	for (const std::string &vm : _contacts.get_silent_peers(now)) {
 		if (_link.is_linked(vm)) {
 			_link.drop(vm);
 		}
@@ -532,14 +534,14 @@
 	_members.take_changes();
 }
 
-void gateway_fleet::_take_members(const heartbeat_message &p_message) {
+void gateway_fleet::_merge_members(const heartbeat_message &p_message) {
 	const std::size_t known = _members.get_members().size();
 	std::map<std::string, bool> were_hubs;
 	for (const member_digest &digest : p_message.digests) {
 		const member *peer = _members.find(digest.vm);
 		were_hubs[digest.vm] = peer != nullptr && peer->digest.hub;
 	}
-	_members.take_digests(p_message.digests, event_loop::now());
+	_members.merge_digests(p_message.digests, event_loop::now());
 	for (const auto &[vm, was_hub] : were_hubs) {
 		const member *peer = _members.find(vm);
 		if (peer == nullptr) {
@@ -556,68 +558,68 @@
 	}
 }
 
-void gateway_fleet::_take_endpoint_news(const std::string &p_vm, const heartbeat_message &p_message) {
+void gateway_fleet::_apply_endpoint_updates(const std::string &p_vm, const heartbeat_message &p_message) {
 	for (const leaving_mark &mark : p_message.marks) {
 		_endpoints.mark_leaving(endpoint_identity{ mark.vm, mark.incarnation }, "peer/" + p_vm);
 	}
 	for (const endpoint_identity &endpoint : p_message.gone) {
-		_endpoints.mark_gone(endpoint, p_vm);
+		_endpoints.mark_removed(endpoint, p_vm);
 	}
 }
 
-void gateway_fleet::_take_fleet_state(const std::string &p_vm, const heartbeat_message &p_message) {
+void gateway_fleet::_apply_fleet_state(const std::string &p_vm, const heartbeat_message &p_message) {
 	if (p_message.zone_nodes > 0) {
 		_zone_nodes[p_vm] = p_message.zone_nodes;
 	}
-	if (!p_message.is_total || p_vm != get_relied_on()) {
+	if (!p_message.is_total || p_vm != get_followed_hub()) {
 		return;
 	}
-	for (const std::string &vm : _told.take(p_message.dispatchers, p_message.fleet_nodes)) {
+	for (const std::string &vm : _reported.take(p_message.dispatchers, p_message.fleet_nodes)) {
 		if (vm != get_vm() && !_is_leaving(vm) && !p_message.dispatchers.empty()) {
-			_told.set_lost(vm);
-			_set_lost(vm, peer_loss::TOLD_BY_HUB);
+			_reported.set_lost(vm);
+			_set_failed(vm, peer_loss::REPORTED_BY_HUB);
 		}
 	}
-	_set_unreached_zones(std::set<std::string>(p_message.unreached_zones.begin(), p_message.unreached_zones.end()));
+	_set_unreachable_zones(std::set<std::string>(p_message.unreached_zones.begin(), p_message.unreached_zones.end()));
 }
 
 void gateway_fleet::_on_heartbeat(const std::string &p_vm, const heartbeat_message &p_message) {
 	const instant now = event_loop::now();
-	_contacts.on_heard(p_vm, p_message.next_in, now);
-	_contacts.on_needs(p_vm, p_message.wants_link, p_message.relies_on_you, now);
-	_told.on_heard(p_vm);
-	_take_members(p_message);
+	_contacts.on_contact(p_vm, p_message.next_in, now);
+	_contacts.on_needs_reported(p_vm, p_message.wants_link, p_message.relies_on_you, now);
+	_reported.on_contact(p_vm);
+	_merge_members(p_message);
 	if (!_plan.is_hub && p_message.relies_on_you) {
 		_plan_links();
 	}
 	_evacuations.offer(p_message.evacuations, p_vm);
-	_take_endpoint_news(p_vm, p_message);
+	_apply_endpoint_updates(p_vm, p_message);
 	const member *known = _members.find(p_vm);
-	for (const beat_part &part : _parts) {
-		part.read(beat_source{ p_vm, _plan.is_hub && known != nullptr && known->digest.hub, p_vm == get_relied_on() }, p_message);
+	for (const heartbeat_section &part : _parts) {
+		part.read(heartbeat_source{ p_vm, _plan.is_hub && known != nullptr && known->digest.hub, p_vm == get_followed_hub() }, p_message);
 	}
-	_take_fleet_state(p_vm, p_message);
+	_apply_fleet_state(p_vm, p_message);
 	const member *peer = _members.find(p_vm);
 	_store.on_heartbeat(p_vm, p_message, peer == nullptr ? 0 : peer->digest.configuration_version);
 	if (_greeted.insert(p_vm).second) {
-		// Its zone is known only now, and so what it needs to know.
-		_send_heartbeat(p_vm, _get_role(p_vm, now), _make_texts(true));
+		// The peer's zone, which decides what the peer needs to know, is known only now.
+		_send_heartbeat(p_vm, _get_role(p_vm, now), _make_heartbeat_drafts(true));
 	}
-	_ask_for_list();
+	_request_list();
 	if (peer != nullptr) {
-		_context.zones.on_node_heard(peer->digest.zone, now);
+		_context.zones.on_node_contact(peer->digest.zone, now);
 		if (_plan.is_hub || _is_starting) {
-			_help.tell_if_unready(peer->digest);
+			_bootstrap.send_if_unready(peer->digest);
 		}
 		if (_plan.is_hub || _is_starting || _is_in_own_zone(p_vm)) {
-			_help.ask_if_newer(peer->digest);
+			_bootstrap.request_if_newer(peer->digest);
 		}
 	}
 }
 
 void gateway_fleet::announce_leaving() {
 	_leaving = true;
-	_send_heartbeats(beat_scope::ALL);
+	_send_heartbeats(heartbeat_scope::ALL);
 }
 
 } // namespace calicoscale
--- a/main/serve/request_service.cpp
+++ b/main/serve/request_service.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: request_service.cpp
- * Carries requests through their stages: runs flows, gates and attempts.
+ * Runs requests through their stages: connects flows, pool gates and attempts.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -17,14 +17,17 @@
 
 namespace {
 
-constexpr duration SWEEP = std::chrono::milliseconds(50);
-constexpr int MOST_SETTLE_TRIES = 4;
-constexpr duration SETTLE_AGAIN_AFTER = std::chrono::milliseconds(1000);
-constexpr std::size_t MOST_SETTLEMENTS = 20000;
+constexpr duration SWEEP_INTERVAL = std::chrono::milliseconds(50);
+constexpr int MAX_SETTLE_TRIES = 4;
+constexpr duration SETTLE_RETRY_DELAY = std::chrono::milliseconds(1000);
+constexpr std::size_t MAX_OPEN_SETTLEMENTS = 20000;
 constexpr double MEDIAN = 0.5;
 constexpr double SLOW_QUANTILE = 0.95;
 constexpr double UNLOADED_QUANTILE = 0.2;
-/** With all weight on attainment only the nearly hopeless is refused, with all on cost what would likelier miss than not. */
+/**
+ * Quantiles of the stage times that the admission check adds up. With all weight on attainment, only requests that are
+ * almost certain to miss their deadline are refused; with all weight on cost, those that miss it more likely than not.
+ */
 constexpr double DOOR_QUANTILE_FOR_COST = 0.5;
 constexpr double DOOR_QUANTILE_FOR_ATTAINMENT = 0.05;
 constexpr double MICRO = 1e6;
@@ -41,7 +44,7 @@
 		_ledger(p_ledger),
 		_random(p_context.seed + 1),
 		_sweep_timer(p_context.loop, [this] { _sweep(); }) {
-	_sweep_timer.set(SWEEP);
+	_sweep_timer.set(SWEEP_INTERVAL);
 }
 
 pool_gate &request_service::_get_gate(const std::string &p_pool) {
@@ -73,10 +76,10 @@
 	const std::string &pool = p_plan.stages[p_stage].pool;
 	const size_class size = get_size_class(p_plan, p_stage);
 	stage_estimate estimate;
-	estimate.usual = _times.estimate(pool, timed_part::WHOLE, size, MEDIAN, p_now);
-	estimate.unloaded = _times.estimate(pool, timed_part::UNLOADED, size, UNLOADED_QUANTILE, p_now);
-	estimate.slow = _times.estimate(pool, timed_part::WHOLE, size, SLOW_QUANTILE, p_now);
-	estimate.slow_first_token = _times.estimate(pool, timed_part::FIRST_TOKEN, size, SLOW_QUANTILE, p_now);
+	estimate.typical = _times.estimate(pool, time_kind::TOTAL, size, MEDIAN, p_now);
+	estimate.unloaded = _times.estimate(pool, time_kind::UNLOADED, size, UNLOADED_QUANTILE, p_now);
+	estimate.slow = _times.estimate(pool, time_kind::TOTAL, size, SLOW_QUANTILE, p_now);
+	estimate.slow_first_token = _times.estimate(pool, time_kind::FIRST_TOKEN, size, SLOW_QUANTILE, p_now);
 	return estimate;
 }
 
@@ -109,7 +112,7 @@
 		if (_router.count_open(plan.pool, plan.endpoints) == 0) {
 			return door_answer{ false, reason::NO_ENDPOINT, std::chrono::seconds(1) };
 		}
-		need += _times.estimate(plan.pool, timed_part::WHOLE, get_size_class(p_plan, stage), quantile, now);
+		need += _times.estimate(plan.pool, time_kind::TOTAL, get_size_class(p_plan, stage), quantile, now);
 		wait += _get_gate(plan.pool).estimate_wait(p_plan.customer, p_plan.weight);
 	}
 	if (now + need + wait > p_plan.deadline) {
@@ -133,7 +136,7 @@
 	request.wake = std::make_unique<timer>(
 			_context.loop, [this, &request] { _apply(request, request.flow->on_wake(event_loop::now())); }, timer_order::BEFORE_SOCKETS);
 	_running.emplace(id, std::move(made));
-	// Started from the loop, so that no hook runs inside begin().
+	// The flow starts from the loop, so that no hook runs inside begin().
 	_context.loop.post([this, id] {
 		const auto found = _running.find(id);
 		if (found != _running.end()) {
@@ -145,7 +148,7 @@
 void request_service::abandon(const request_id &p_id) {
 	const auto found = _running.find(p_id);
 	if (found != _running.end()) {
-		_apply(*found->second, found->second->flow->on_caller_gone(event_loop::now()));
+		_apply(*found->second, found->second->flow->on_caller_disconnected(event_loop::now()));
 	}
 }
 
@@ -155,7 +158,7 @@
 	}
 }
 
-void request_service::_do(running_request &r_request, const ask_place &p_action) {
+void request_service::_do(running_request &r_request, const acquire_slot &p_action) {
 	const request_plan &plan = r_request.flow->get_plan();
 	queued_request waiting;
 	waiting.id = plan.id;
@@ -166,50 +169,50 @@
 	waiting.queued_at = event_loop::now();
 	const std::string &pool = plan.stages[p_action.stage].pool;
 	pool_gate &gate = _get_gate(pool);
-	_take_changes(pool, gate.enter(waiting, event_loop::now()));
+	_apply_gate_changes(pool, gate.enter(waiting, event_loop::now()));
 	if (gate.get_waiting() > 0) {
 		_context.timeline.add(event_kind::STAGE_QUEUED, to_string(plan.id), pool, std::to_string(gate.get_waiting()) + " waiting");
 	}
 }
 
-void request_service::_do(running_request &r_request, const return_place &p_action) {
+void request_service::_do(running_request &r_request, const release_slot &p_action) {
 	const request_plan &plan = r_request.flow->get_plan();
 	const std::string &pool = plan.stages[p_action.stage].pool;
-	_take_changes(pool, _get_gate(pool).leave(p_action.use, p_action.held, p_action.relative_latency, event_loop::now()));
+	_apply_gate_changes(pool, _get_gate(pool).leave(p_action.use, p_action.held, p_action.relative_latency, event_loop::now()));
 }
 
-void request_service::_do(running_request &r_request, const withdraw_place &p_action) {
+void request_service::_do(running_request &r_request, const cancel_slot_request &p_action) {
 	const request_plan &plan = r_request.flow->get_plan();
 	_get_gate(plan.stages[p_action.stage].pool).abandon(plan.id);
 }
 
-void request_service::_take_changes(const std::string &p_pool, const gate_changes &p_changes) {
-	// Told from the loop: the flows concerned may be in the middle of handing out their own actions.
+void request_service::_apply_gate_changes(const std::string &p_pool, const gate_changes &p_changes) {
+	// The changes are reported from the loop, because the flows concerned may still be returning their own actions.
 	for (const request_id &id : p_changes.admitted) {
-		_context.loop.post([this, p_pool, id] { _give_place(p_pool, id); });
+		_context.loop.post([this, p_pool, id] { _grant_slot(p_pool, id); });
 	}
 	for (const dropped_request &dropped : p_changes.expired) {
-		_context.loop.post([this, id = dropped.id] { _deny_place(id, reason::DEADLINE_UNREACHABLE); });
+		_context.loop.post([this, id = dropped.id] { _deny_slot(id, reason::DEADLINE_UNREACHABLE); });
 	}
-	for (const dropped_request &dropped : p_changes.crowded_out) {
-		_context.loop.post([this, id = dropped.id] { _deny_place(id, reason::QUEUE_FULL); });
+	for (const dropped_request &dropped : p_changes.evicted_requests) {
+		_context.loop.post([this, id = dropped.id] { _deny_slot(id, reason::QUEUE_FULL); });
 	}
 }
 
-void request_service::_give_place(const std::string &p_pool, const request_id &p_id) {
+void request_service::_grant_slot(const std::string &p_pool, const request_id &p_id) {
 	const auto found = _running.find(p_id);
 	if (found == _running.end() || found->second->flow->is_finished()) {
-		// It gave up in between; the place goes back unused.
-		_take_changes(p_pool, _get_gate(p_pool).leave(place_use::FAILED, duration::zero(), 1.0, event_loop::now()));
+		// The request ended in the meantime; its slot is released unused.
+		_apply_gate_changes(p_pool, _get_gate(p_pool).leave(slot_outcome::FAILED, duration::zero(), 1.0, event_loop::now()));
 		return;
 	}
-	_apply(*found->second, found->second->flow->on_place_given(event_loop::now()));
+	_apply(*found->second, found->second->flow->on_slot_granted(event_loop::now()));
 }
 
-void request_service::_deny_place(const request_id &p_id, reason p_reason) {
+void request_service::_deny_slot(const request_id &p_id, reason p_reason) {
 	const auto found = _running.find(p_id);
 	if (found != _running.end()) {
-		_apply(*found->second, found->second->flow->on_place_denied(p_reason, event_loop::now()));
+		_apply(*found->second, found->second->flow->on_slot_denied(p_reason, event_loop::now()));
 	}
 }
 
@@ -277,13 +280,13 @@
 	observation.result = p_result;
 	observation.elapsed = now - p_call.started;
 	const bool is_whole = p_call.start == stream_start::FRESH;
-	observation.usual = is_whole ? _times.estimate(pool, timed_part::WHOLE, size, MEDIAN, now) : duration::zero();
+	observation.typical = is_whole ? _times.estimate(pool, time_kind::TOTAL, size, MEDIAN, now) : duration::zero();
 	_router.on_attempt_ended(p_call.endpoint, observation, now);
 	_context.metrics.on_attempt(pool, p_result);
 	_context.timeline.add(event_kind::ATTEMPT_ENDED, to_string(plan.id), p_call.vm, std::string(get_name(p_result.what)) + " " + std::string(get_name(p_result.why)), observation.elapsed);
 	if (p_result.what == verdict::COMPLETED && is_whole) {
-		_times.add(pool, timed_part::WHOLE, size, observation.elapsed, now);
-		_times.add(pool, timed_part::UNLOADED, size, observation.elapsed, now);
+		_times.add(pool, time_kind::TOTAL, size, observation.elapsed, now);
+		_times.add(pool, time_kind::UNLOADED, size, observation.elapsed, now);
 	}
 	if (p_result.why == reason::REFUSED_LEAVING) {
 		_fleet.on_endpoint_leaving();
@@ -322,7 +325,7 @@
 		call->second.has_token = true;
 		const duration elapsed = event_loop::now() - call->second.started;
 		const request_plan &plan = request.flow->get_plan();
-		_times.add(plan.stages[p_attempt.stage].pool, timed_part::FIRST_TOKEN, get_size_class(plan, p_attempt.stage), elapsed, event_loop::now());
+		_times.add(plan.stages[p_attempt.stage].pool, time_kind::FIRST_TOKEN, get_size_class(plan, p_attempt.stage), elapsed, event_loop::now());
 		_context.timeline.add(event_kind::FIRST_TOKEN, to_string(p_request), call->second.vm, "token " + std::to_string(p_offset), elapsed);
 	}
 	_apply(request, request.flow->on_token(p_attempt, p_offset, p_token, event_loop::now()));
@@ -336,7 +339,7 @@
 	const open_call call = found->second;
 	r_request.calls.erase(found);
 	_context.endpoints.cancel(call.call);
-	// The flow cancels for RETRIED when the attempt took too long, which is the endpoint's fault.
+	// The flow cancels with RETRIED when the attempt took too long, which counts as a fault of the endpoint.
 	const bool is_fault = p_action.use == cost_use::RETRIED || p_action.use == cost_use::FAILED;
 	_observe(r_request, call, outcome{ verdict::MAY_HAVE_RUN, is_fault ? reason::TIMED_OUT : reason::CANCELLED });
 	if (call.address.port != 0) {
@@ -371,7 +374,7 @@
 	_ledger.book(p_key, sum);
 }
 
-void request_service::_do(running_request &r_request, const book_cost &p_action) {
+void request_service::_do(running_request &r_request, const record_cost &p_action) {
 	book(_make_key(r_request.flow->get_plan(), p_action.stage, p_action.use), p_action.units);
 }
 
@@ -385,25 +388,25 @@
 }
 
 void request_service::_settle(const network_address &p_address, const attempt_id &p_id, const cost_key &p_key) {
-	if (_settlements.size() >= MOST_SETTLEMENTS) {
+	if (_settlements.size() >= MAX_OPEN_SETTLEMENTS) {
 		_context.metrics.count("cost_unknown");
 		return;
 	}
 	const std::uint64_t number = _next_settlement++;
 	_settlements.emplace(number, open_settlement{ p_address, p_id, p_key, 0, false });
-	_ask_settlement(number);
+	_request_settlement(number);
 }
 
-void request_service::_ask_settlement(std::uint64_t p_number) {
+void request_service::_request_settlement(std::uint64_t p_number) {
 	open_settlement &open = _settlements.at(p_number);
 	open.tries++;
-	open.is_asking = true;
+	open.is_requesting = true;
 	_context.endpoints.settle(open.address, open.id, [this, p_number](const settled_cost &p_cost) {
 		const auto found = _settlements.find(p_number);
 		if (found == _settlements.end()) {
 			return;
 		}
-		found->second.is_asking = false;
+		found->second.is_requesting = false;
 		if (p_cost.known) {
 			if (p_cost.units > 0.0) {
 				book(found->second.key, p_cost.units);
@@ -411,20 +414,20 @@
 			_settlements.erase(found);
 			return;
 		}
-		if (found->second.tries >= MOST_SETTLE_TRIES) {
+		if (found->second.tries >= MAX_SETTLE_TRIES) {
 			_context.metrics.count("cost_unknown");
 			_settlements.erase(found);
 			return;
 		}
 		auto again = std::make_shared<std::unique_ptr<timer>>();
 		*again = std::make_unique<timer>(_context.loop, [this, p_number, again] {
-			// Freed from the loop, as the timer must not destroy itself inside its own hook.
+			// The timer is freed from the loop, because it must not destroy itself inside its own hook.
 			_context.loop.post([again] { again->reset(); });
 			if (_settlements.contains(p_number)) {
-				_ask_settlement(p_number);
+				_request_settlement(p_number);
 			}
 		});
-		(*again)->set(SETTLE_AGAIN_AFTER);
+		(*again)->set(SETTLE_RETRY_DELAY);
 	});
 }
 
@@ -444,7 +447,7 @@
 	_drops.late_answers += drops.late_answers;
 	_drops.repeated_tokens += drops.repeated_tokens;
 	_drops.token_gaps += drops.token_gaps;
-	// Freed from the loop: the flow is still on the stack here.
+	// The request is freed from the loop, because its flow is still on the stack here.
 	const request_id id = plan.id;
 	std::shared_ptr<running_request> finished = std::move(_running.at(id));
 	_running.erase(id);
@@ -458,9 +461,9 @@
 void request_service::_sweep() {
 	const instant now = event_loop::now();
 	for (auto &[pool, gate] : _gates) {
-		_take_changes(pool, gate.expire(now));
+		_apply_gate_changes(pool, gate.expire(now));
 	}
-	_sweep_timer.set(SWEEP);
+	_sweep_timer.set(SWEEP_INTERVAL);
 }
 
 } // namespace calicoscale
--- a/misc/scripts/soak_mutations.sh
+++ b/misc/scripts/soak_mutations.sh
@@ -59,8 +59,8 @@
 }
 
 request=main/gateway/gateway_request.cpp
-mutate "rested connections" "what crosses their end is read and thrown away" drivers/caller_connection.cpp "void caller_connection::end_unread(connection_end p_end) {
-" "void caller_connection::end_unread(connection_end p_end) {
+mutate "rested connections" "what crosses their end is read and thrown away" drivers/caller_connection.cpp "void caller_connection::close_without_reading(connection_end p_end) {
+" "void caller_connection::close_without_reading(connection_end p_end) {
 	_linger(p_end);
 	if (_phase == phase::LINGERING) {
 		return;
@@ -69,9 +69,9 @@
 mutate "at most once" "every request may be repeated" $request "const bool is_safe = route.repeats" "const bool is_safe = true || route.repeats"
 mutate "planned stop" "the process ends at once" main/gateway/gateway.cpp '_enter(stop_phase::LISTENING, "listening");' "_has_stopped = true;
 	_context.loop.stop();"
-mutate "configuration" "a new one is not taken once there is one" platform/configuration_reader.cpp "if (_current && offered->version <= _current->version)" "if (_current)"
-mutate "configuration" "an older one replaces a newer one" platform/configuration_reader.cpp "if (_current && offered->version <= _current->version)" "if (false)" --copies
-mutate "silent store" "a read without an answer is never repeated" main/gateway/topic_reader.cpp "	_send(*beside);" "" --silences
+mutate "configuration" "a new one is not taken once there is one" platform/configuration_reader.cpp "if (_current && parsed->version <= _current->version)" "if (_current)"
+mutate "configuration" "an older one replaces a newer one" platform/configuration_reader.cpp "if (_current && parsed->version <= _current->version)" "if (false)" --copies
+mutate "silent store" "a read without an answer is never repeated" main/gateway/topic_reader.cpp "	_send(*repeated_read);" "" --silences
 mutate "leaving" "the state of an endpoint is ignored" platform/endpoint_codec.cpp "	return r_listing.leaving || *state == SERVING_STATE" "	const bool was_leaving = r_listing.leaving;
 	r_listing.leaving = false;
 	return was_leaving || *state == SERVING_STATE"
@@ -80,7 +80,7 @@
 			_on_failure" "if (false) {
 			_on_failure"
 mutate "not run" "a refusal is given though something may have run" $request "if (_tally.get_verdict() != verdict::NOT_RUN || _stages.may_have_run() || _answer_started)" "if (_answer_started)"
-mutate "whole answers" "one that was broken off is passed on as whole" $request "if (p_end != answer_end::WHOLE) {
+mutate "whole answers" "one that was broken off is passed on as whole" $request "if (p_end != answer_end::COMPLETE) {
 		_on_failure" "if (false) {
 		_on_failure"
 mutate "streams" "half an event stays before another endpoint goes on" main/gateway/received_answer.cpp "	_events.restart();" ""
--- a/servers/gateway/mechanism.cpp
+++ b/servers/gateway/mechanism.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: mechanism.cpp
- * What the gateway decides by, so that each part can be switched off and its worth measured.
+ * Mechanisms of the gateway's decisions that can be switched off one by one, to measure their effect.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,22 +18,22 @@
 
 constexpr std::array<enum_name<mechanism>, static_cast<std::size_t>(mechanism::COUNT)> MECHANISM_NAMES{ {
 		{ mechanism::SHARED_DISPATCH, "shared_dispatch" },
-		{ mechanism::ASKED_LISTS, "asked_lists" },
+		{ mechanism::REQUESTED_LISTS, "asked_lists" },
 		{ mechanism::POOL_SHARDS, "pool_shards" },
 		{ mechanism::DISPATCH_BY_SIZE, "dispatch_by_size" },
 		{ mechanism::HOLD_AT_START, "hold_at_start" },
-		{ mechanism::TOLD_RESULTS, "told_results" },
+		{ mechanism::REPORTED_RESULTS, "told_results" },
 		{ mechanism::LOST_RESULTS, "lost_results" },
 		{ mechanism::ADMISSION, "admission" },
 		{ mechanism::MEASURED_CAPACITY, "measured_capacity" },
 		{ mechanism::PREDICTED_RETURN, "predicted_return" },
 		{ mechanism::STAGE_DUE_TIMES, "stage_due_times" },
 		{ mechanism::PRIORITY_ORDER, "priority_order" },
-		{ mechanism::LATE_LAST, "late_last" },
+		{ mechanism::LATE_WORK_LAST, "late_last" },
 		{ mechanism::REPLICA_ZONE, "replica_zone" },
 		{ mechanism::REPLICA_SLOWNESS, "replica_slowness" },
-		{ mechanism::TOLD_PACE, "told_pace" },
-		{ mechanism::ROOM, "room" },
+		{ mechanism::REPORTED_SLOWDOWN, "told_pace" },
+		{ mechanism::RESULT_CAPACITY, "room" },
 		{ mechanism::REPEATED_CALLS, "repeated_calls" },
 		{ mechanism::OVERDUE_CALLS, "overdue_calls" },
 		{ mechanism::ENGINE_WAIT, "engine_wait" },
--- a/servers/gateway/stage_call.cpp
+++ b/servers/gateway/stage_call.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: stage_call.cpp
- * Stage work, the calls that carry its pieces, and how they end.
+ * Stage work, the calls that carry its items, and their outcomes.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,7 +18,7 @@
 
 constexpr std::array<enum_name<work_end>, 5> END_NAMES{ {
 		{ work_end::DONE, "done" },
-		{ work_end::INPUT_GONE, "input_gone" },
+		{ work_end::INPUT_LOST, "input_gone" },
 		{ work_end::LATE, "late" },
 		{ work_end::FAILED, "failed" },
 		{ work_end::DROPPED, "dropped" },
--- a/tests/platform/store_codec_test.cpp
+++ b/tests/platform/store_codec_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: store_codec_test.cpp
- * Answers of the store, with records of any writer.
+ * Checks the parsing of the store's answers, including malformed records from other writers.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -18,7 +18,7 @@
 
 namespace {
 
-/** "YWJj" is "abc" in base64. */
+/** A page of two records; "YWJj" is "abc" in base64. */
 const std::string PAGE = R"({"items":[{"private_key":"i-1","value":"YWJj","offset":4},{"private_key":"i-2","value":"YQ==","offset":5}],"has_more":true,"end_offset":6})";
 
 std::string write_log(const std::vector<std::string> &p_records) {
@@ -55,7 +55,7 @@
 	EXPECT_EQ(answer.status, store_status::OK);
 	EXPECT_EQ(answer.next_offset, 15U);
 	EXPECT_EQ(answer.records, (std::vector<store_record>{ { "a", "1", 10 }, { "", "", 11 }, { "", "", 12 }, { "b", std::nullopt, 13 }, { "", "2", 14 } }));
-	EXPECT_EQ(read_log_answer(410, "", 10).status, store_status::HISTORY_GONE);
+	EXPECT_EQ(read_log_answer(410, "", 10).status, store_status::HISTORY_COMPACTED);
 	for (const std::string &body : { std::string(), std::string(15, '\0'), std::string(17, '\0'), write_log({ write_record("a", "1").substr(0, 6) }) }) {
 		EXPECT_EQ(read_log_answer(200, body, 10).status, store_status::UNAVAILABLE);
 		EXPECT_TRUE(read_log_answer(200, body, 10).records.empty());
--- a/tests/servers/gateway/stage_restart_test.cpp
+++ b/tests/servers/gateway/stage_restart_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: stage_restart_test.cpp
- * Replicas of a stage pool that start again under their name.
+ * Replicas of a stage pool that restart under the same name.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -23,7 +23,7 @@
 	return instant(seconds(1000) + milliseconds(p_ms));
 }
 
-/** A pool of one replica with one slot and room for one result. */
+/** Pool of one replica with one slot and memory for one result. */
 class stage_restart_test : public ::testing::Test {
 protected:
 	stage_pool _pool;
@@ -34,7 +34,7 @@
 		spec.batch = 1;
 		spec.call_time = milliseconds(100);
 		spec.result_ttl = seconds(4);
-		spec.room_bytes = 100.0;
+		spec.capacity_bytes = 100.0;
 		_pool.set_spec(spec);
 		start_replica(1);
 	}
@@ -58,7 +58,7 @@
 		_pool.add(1, work, at(0));
 	}
 
-	void make(const stage_call &p_call, const std::string &p_handle, int p_at) {
+	void complete_call(const stage_call &p_call, const std::string &p_handle, int p_at) {
 		_pool.on_call_ended(p_call.id, call_end::ANSWERED, { item_result{ item_end::DONE, p_handle } }, at(p_at));
 	}
 };
@@ -74,7 +74,7 @@
 	ASSERT_TRUE(call);
 	EXPECT_EQ(call->replica, (endpoint_identity{ "e", 2 }));
 	_pool.on_call_ended(lost->id, call_end::BROKEN, {}, at(20));
-	EXPECT_FALSE(_pool.next_call(at(30))) << "the later start has one slot, which is taken";
+	EXPECT_FALSE(_pool.next_call(at(30))) << "the only slot of the later incarnation is in use";
 }
 
 TEST_F(stage_restart_test, a_call_at_the_earlier_start_is_made_again_at_once) {
@@ -84,7 +84,7 @@
 	_pool.tick([] { return true; }, at(30));
 	const std::optional<stage_call> again = _pool.next_call(at(30));
 	ASSERT_TRUE(again);
-	make(*again, "10.0.0.1:80/a", 130);
+	complete_call(*again, "10.0.0.1:80/a", 130);
 	const std::vector<work_result> ended = _pool.take_ended();
 	ASSERT_EQ(ended.size(), 1U);
 	EXPECT_EQ(ended[0].end, work_end::DONE);
@@ -105,26 +105,26 @@
 	add_work(2);
 	const std::optional<stage_call> first = _pool.next_call(at(0));
 	ASSERT_TRUE(first);
-	make(*first, "10.0.0.1:80/a", 100);
-	EXPECT_FALSE(_pool.next_call(at(110))) << "there is no room for a second result";
+	complete_call(*first, "10.0.0.1:80/a", 100);
+	EXPECT_FALSE(_pool.next_call(at(110))) << "there is no memory for a second result";
 	start_replica(2);
 	const std::optional<stage_call> again = _pool.next_call(at(120));
-	ASSERT_TRUE(again) << "the room is free";
-	EXPECT_EQ(again->items[0].piece, 0U) << "which was made and is lost";
-	EXPECT_EQ(_pool.get_waiting_pieces(), 1U);
-	EXPECT_EQ(_pool.take_unwanted(), (std::vector<std::string>{ "10.0.0.1:80/a" }));
+	ASSERT_TRUE(again) << "the memory is free";
+	EXPECT_EQ(again->items[0].piece, 0U) << "its result was lost";
+	EXPECT_EQ(_pool.get_waiting_items(), 1U);
+	EXPECT_EQ(_pool.take_unneeded_results(), (std::vector<std::string>{ "10.0.0.1:80/a" }));
 	EXPECT_TRUE(_pool.take_ended().empty());
 }
 
 TEST_F(stage_restart_test, results_told_of_the_earlier_start_take_no_room_at_the_later_one) {
 	start_replica(2);
 	add_work(1);
-	_pool.on_results_told("n", { held_result{ "10.0.0.1:80/a", ADDRESS, 1, 100.0 } }, at(0));
+	_pool.on_results_reported("n", { owned_result{ "10.0.0.1:80/a", ADDRESS, 1, 100.0 } }, at(0));
 	const std::optional<stage_call> call = _pool.next_call(at(0));
 	ASSERT_TRUE(call);
 	_pool.on_call_ended(call->id, call_end::REFUSED, {}, at(10));
-	_pool.on_results_told("n", { held_result{ "10.0.0.1:80/b", ADDRESS, 2, 100.0 } }, at(10));
-	EXPECT_FALSE(_pool.next_call(at(200))) << "its own result does";
+	_pool.on_results_reported("n", { owned_result{ "10.0.0.1:80/b", ADDRESS, 2, 100.0 } }, at(10));
+	EXPECT_FALSE(_pool.next_call(at(200))) << "the result of the later incarnation occupies the memory";
 }
 
 } // namespace calicoscale
--- a/tests/servers/once_test.cpp
+++ b/tests/servers/once_test.cpp
@@ -1,13 +1,13 @@
 /*
  * calicoscale: once_test.cpp
- * Tickets and claims: at most one run under any faults.
+ * Tests tickets and claims of idempotency keys: a request runs at most once under any faults.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
  */
 
-#include "servers/once/claim_book.h"
-#include "servers/once/ticket_book.h"
+#include "servers/once/claim_registry.h"
+#include "servers/once/ticket_registry.h"
 #include "tests/choice_source.h"
 
 #include <gtest/gtest.h>
@@ -23,12 +23,12 @@
 constexpr duration KEY_AGE = std::chrono::minutes(10);
 constexpr unix_milliseconds START = 1'000'000'000;
 
-/** Nodes that claim keys on one log which loses answers, forgets, and delivers appends late. */
-class claim_world {
+/** Simulates nodes that claim keys on one log that loses answers, removes old records and applies appends late. */
+class claim_simulation {
 	struct node {
-		std::unique_ptr<claim_book> book;
+		std::unique_ptr<claim_registry> book;
 		std::string vm;
-		std::map<std::uint64_t, std::string> waiting; ///< Claims whose fate is open, with their key.
+		std::map<std::uint64_t, std::string> waiting; ///< Open claims, with their key.
 		std::map<std::uint64_t, std::string> running;
 	};
 
@@ -39,12 +39,12 @@
 	std::vector<std::string> _delayed; ///< Appends that will take effect later.
 	std::map<std::string, int> _runs;
 	unix_milliseconds _wall = START;
-	std::uint64_t _lives = 0;
+	std::uint64_t _incarnations = 0;
 
 	void _restart(node &r_node) {
 		RC_LOG() << r_node.vm << " restarts at " << _wall - START << "\n";
-		r_node.vm = "vm" + std::to_string(_lives % 3);
-		r_node.book = std::make_unique<claim_book>(r_node.vm, ++_lives, KEY_AGE, 1000);
+		r_node.vm = "vm" + std::to_string(_incarnations % 3);
+		r_node.book = std::make_unique<claim_registry>(r_node.vm, ++_incarnations, KEY_AGE, 1000);
 		r_node.waiting.clear();
 		r_node.running.clear();
 	}
@@ -93,11 +93,11 @@
 				_records.push_back(encode(*batch));
 				_settle(r_node, r_node.book->on_append_ended(*batch, append_result::DONE));
 				return;
-			case 1: // It took effect, and its answer was lost.
+			case 1: // The append takes effect, and its answer is lost.
 				_records.push_back(encode(*batch));
 				_settle(r_node, r_node.book->on_append_ended(*batch, append_result::UNKNOWN));
 				return;
-			case 2: // Its answer was lost, and it takes effect later or never.
+			case 2: // The answer is lost, and the append takes effect later or never.
 				_delayed.push_back(encode(*batch));
 				_settle(r_node, r_node.book->on_append_ended(*batch, append_result::UNKNOWN));
 				return;
@@ -111,14 +111,14 @@
 		const std::uint64_t from = std::max(r_node.book->get_position(), _earliest);
 		std::vector<std::optional<claim_batch>> batches;
 		std::uint64_t next = from;
-		const std::size_t most = 1 + _choices.pick(4);
-		while (next < _records.size() && batches.size() < most) {
+		const std::size_t max_batches = 1 + _choices.pick(4);
+		while (next < _records.size() && batches.size() < max_batches) {
 			batches.push_back(decode_claim_batch(_records[next++]));
 		}
 		_settle(r_node, r_node.book->take_read(_earliest, batches, next, next == _records.size(), _wall));
 	}
 
-	void _end(node &r_node) {
+	void _finish(node &r_node) {
 		if (!r_node.running.empty()) {
 			const std::uint64_t claim = r_node.running.begin()->first;
 			RC_LOG() << r_node.vm << " ends claim " << claim << "\n";
@@ -137,7 +137,7 @@
 	}
 
 public:
-	explicit claim_world(choice_source &r_choices) :
+	explicit claim_simulation(choice_source &r_choices) :
 			_choices(r_choices), _nodes(3) {
 		for (node &entry : _nodes) {
 			_restart(entry);
@@ -163,7 +163,7 @@
 					_read(chosen);
 					break;
 				case 7:
-					_end(chosen);
+					_finish(chosen);
 					break;
 				case 8:
 					_give_up(chosen);
@@ -186,8 +186,8 @@
 };
 
 struct book_pair {
-	claim_book left{ "left", 1, KEY_AGE, 100 };
-	claim_book right{ "right", 2, KEY_AGE, 100 };
+	claim_registry left{ "left", 1, KEY_AGE, 100 };
+	claim_registry right{ "right", 2, KEY_AGE, 100 };
 
 	book_pair() {
 		left.take_read(0, {}, 0, true, START);
@@ -201,12 +201,12 @@
 
 RC_GTEST_PROP(claim_book_properties, a_key_runs_at_most_once_under_any_faults, ()) {
 	choice_source choices(400);
-	claim_world(choices).run();
+	claim_simulation(choices).run();
 }
 
 RC_GTEST_PROP(ticket_book_properties, a_ticket_runs_at_most_once, ()) {
 	choice_source choices(200);
-	ticket_book book("vm", 1, "secret", 50);
+	ticket_registry book("vm", 1, "secret", 50);
 	std::vector<std::string> tickets;
 	std::map<std::string, int> runs;
 	unix_milliseconds wall = START;
@@ -238,7 +238,7 @@
 }
 
 TEST(ticket_book, first_outcome_is_replayed) {
-	ticket_book book("vm", 1, "secret", 10);
+	ticket_registry book("vm", 1, "secret", 10);
 	const ticket_key ticket = *parse_ticket(book.issue("customer", START + 1000));
 	EXPECT_EQ(book.submit("customer", ticket, START).step, once_step::RUN);
 	EXPECT_EQ(book.submit("customer", ticket, START).step, once_step::WAIT);
@@ -249,16 +249,16 @@
 }
 
 TEST(ticket_book, foreign_customer_forged_expired_and_earlier_life) {
-	ticket_book book("vm", 2, "secret", 10);
+	ticket_registry book("vm", 2, "secret", 10);
 	const ticket_key ticket = *parse_ticket(book.issue("customer", START + 1000));
 	EXPECT_EQ(book.submit("other", ticket, START).refusal, (outcome{ verdict::NOT_RUN, reason::NOT_FOUND }));
 	ticket_key forged = ticket;
 	forged.expires_at += 1;
 	EXPECT_EQ(book.submit("customer", forged, START).refusal.why, reason::NOT_FOUND);
 	EXPECT_EQ(book.submit("customer", ticket, START + 1000).refusal, (outcome{ verdict::MAY_HAVE_RUN, reason::KEY_EXPIRED }));
-	ticket_book next_life("vm", 3, "new secret", 10);
-	EXPECT_EQ(next_life.submit("customer", ticket, START).refusal, (outcome{ verdict::MAY_HAVE_RUN, reason::ISSUER_GONE }));
-	ticket_book other_vm("vm2", 3, "new secret", 10);
+	ticket_registry next_incarnation("vm", 3, "new secret", 10);
+	EXPECT_EQ(next_incarnation.submit("customer", ticket, START).refusal, (outcome{ verdict::MAY_HAVE_RUN, reason::ISSUER_GONE }));
+	ticket_registry other_vm("vm2", 3, "new secret", 10);
 	EXPECT_EQ(other_vm.submit("customer", ticket, START).step, once_step::PASS_ON);
 }
 
@@ -268,7 +268,7 @@
 		EXPECT_FALSE(parse_claimed_key(text).has_value()) << text;
 		EXPECT_FALSE(parse_ticket(text).has_value()) << text;
 	}
-	EXPECT_FALSE(parse_claimed_key("1-" + std::string(LONGEST_KEY, 'x')).has_value());
+	EXPECT_FALSE(parse_claimed_key("1-" + std::string(MAX_KEY_BYTES, 'x')).has_value());
 }
 
 TEST(claim_book, lowest_offset_wins_and_the_loser_passes_on) {
@@ -311,7 +311,7 @@
 }
 
 TEST(claim_book, without_the_log_it_refuses_not_run) {
-	claim_book book("vm", 1, KEY_AGE, 100);
+	claim_registry book("vm", 1, KEY_AGE, 100);
 	std::uint64_t claim = 0;
 	EXPECT_EQ(book.submit("c", KEY, START, claim).refusal, (outcome{ verdict::NOT_RUN, reason::CLAIM_UNAVAILABLE }));
 	book.take_read(0, {}, 0, true, START);
@@ -330,7 +330,7 @@
 }
 
 TEST(claim_book, keys_older_than_a_truncated_log_are_refused) {
-	claim_book book("vm", 1, KEY_AGE, 100);
+	claim_registry book("vm", 1, KEY_AGE, 100);
 	book.take_read(5, {}, 5, true, START + 60'000);
 	std::uint64_t claim = 0;
 	EXPECT_EQ(book.submit("c", KEY, START + 60'000, claim).refusal.why, reason::CLAIM_UNAVAILABLE);
@@ -351,7 +351,7 @@
 	std::uint64_t claim = 0;
 	books.left.submit("c", KEY, START, claim);
 	const claim_batch batch = *books.left.take_batch();
-	// Another node's claim stood at offset 0 and is forgotten; this one's own is the first that is left.
+	// Another node's claim was at offset 0, which the log removed; this node's own claim is the first one left.
 	const std::vector<settled_claim> settled = books.left.take_read(1, { batch }, 2, true, START);
 	ASSERT_EQ(settled.size(), 1U);
 	EXPECT_EQ(settled[0].answer.refusal, (outcome{ verdict::MAY_HAVE_RUN, reason::CLAIM_UNAVAILABLE }));
--- a/tests/servers/request_flow_test.cpp
+++ b/tests/servers/request_flow_test.cpp
@@ -1,6 +1,6 @@
 /*
  * calicoscale: request_flow_test.cpp
- * Properties of a request's flow under random faults, times and orders.
+ * Properties of request_flow under random faults, delays and orders of events.
  *
  * Copyright (c) 2026 calicoscale contributors.
  * SPDX-License-Identifier: MIT
@@ -20,14 +20,14 @@
 
 namespace {
 
-/** How a fake endpoint treats an attempt. The first is the harmless one. */
-enum class fate {
+/** How a fake endpoint treats an attempt. The first value is the one without a fault. */
+enum class endpoint_behaviour {
 	COMPLETE,
 	REFUSE_CONNECTION,
 	REFUSE_BUSY,
 	REFUSE_LEAVING,
 	LOSE_AFTER_RUNNING,
-	LOSE_BEFORE_RUNNING, ///< Bytes were handed over, but nothing ran.
+	LOSE_BEFORE_RUNNING, ///< The request was sent, but not executed.
 	FAIL_AFTER_RUNNING,
 	HANG,
 	TWICE,
@@ -38,7 +38,7 @@
 	COUNT,
 };
 
-/** Endpoints, pool places and time around one flow. */
+/** Simulates endpoints, pool slots and time around one request_flow. */
 class flow_world {
 	struct event {
 		instant at;
@@ -56,12 +56,12 @@
 	std::multimap<instant, std::function<void()>> _events;
 	std::optional<instant> _wake;
 	instant _now{};
-	std::map<std::size_t, int> _runs; ///< Executions by stage; a resumed stream is none of its own.
+	std::map<std::size_t, int> _runs; ///< Executions by stage; resuming a stream isn't an execution.
 	std::map<attempt_id, stream_state> _streams;
 	std::map<attempt_id, bool> _open;
 	std::vector<std::string> _forwarded;
-	int _places = 0;
-	bool _asking = false;
+	int _slots_held = 0;
+	bool _is_slot_requested = false;
 	int _finishes = 0;
 	finish_request _finish;
 	int _booked_useful = 0;
@@ -80,34 +80,34 @@
 		}
 	}
 
-	void _do(const ask_place &) {
+	void _do(const acquire_slot &) {
 		RC_ASSERT(_finishes == 0);
-		RC_ASSERT(!_asking);
-		RC_ASSERT(_places == 0);
-		_asking = true;
+		RC_ASSERT(!_is_slot_requested);
+		RC_ASSERT(_slots_held == 0);
+		_is_slot_requested = true;
 		const bool denied = _choices.one_in(12);
 		_at(_choices.one_in(6) ? _draw_delay() : duration::zero(), [this, denied] {
-			if (!_asking) {
+			if (!_is_slot_requested) {
 				return;
 			}
-			_asking = false;
+			_is_slot_requested = false;
 			if (denied) {
-				_apply(_flow->on_place_denied(reason::QUEUE_FULL, _now));
+				_apply(_flow->on_slot_denied(reason::QUEUE_FULL, _now));
 				return;
 			}
-			_places++;
-			_apply(_flow->on_place_given(_now));
+			_slots_held++;
+			_apply(_flow->on_slot_granted(_now));
 		});
 	}
 
-	void _do(const return_place &) {
-		_places--;
-		RC_ASSERT(_places == 0);
+	void _do(const release_slot &) {
+		_slots_held--;
+		RC_ASSERT(_slots_held == 0);
 	}
 
-	void _do(const withdraw_place &) {
-		RC_ASSERT(_asking);
-		_asking = false;
+	void _do(const cancel_slot_request &) {
+		RC_ASSERT(_is_slot_requested);
+		_is_slot_requested = false;
 	}
 
 	void _end(const attempt_id &p_id, const attempt_end &p_end) {
@@ -123,22 +123,22 @@
 
 	void _do(const start_attempt &p_action) {
 		RC_ASSERT(_finishes == 0);
-		RC_ASSERT(_places == 1);
+		RC_ASSERT(_slots_held == 1);
 		RC_ASSERT(_now < _plan.deadline);
 		_open[p_action.id] = true;
 		const bool is_stream = _plan.stages[p_action.id.stage].kind == stage_kind::GENERATE;
-		const fate chosen = _choices.one_in(3) ? static_cast<fate>(_choices.pick(static_cast<std::uint32_t>(fate::COUNT))) : fate::COMPLETE;
+		const endpoint_behaviour chosen = _choices.one_in(3) ? static_cast<endpoint_behaviour>(_choices.pick(static_cast<std::uint32_t>(endpoint_behaviour::COUNT))) : endpoint_behaviour::COMPLETE;
 		switch (chosen) {
-			case fate::REFUSE_CONNECTION:
+			case endpoint_behaviour::REFUSE_CONNECTION:
 				_end_later(p_action.id, verdict::NOT_RUN, reason::CONNECT_FAILED);
 				return;
-			case fate::REFUSE_BUSY:
+			case endpoint_behaviour::REFUSE_BUSY:
 				_end_later(p_action.id, verdict::NOT_RUN, reason::REFUSED_BUSY);
 				return;
-			case fate::REFUSE_LEAVING:
+			case endpoint_behaviour::REFUSE_LEAVING:
 				_end_later(p_action.id, verdict::NOT_RUN, reason::REFUSED_LEAVING);
 				return;
-			case fate::LOSE_BEFORE_RUNNING:
+			case endpoint_behaviour::LOSE_BEFORE_RUNNING:
 				_end_later(p_action.id, verdict::MAY_HAVE_RUN, reason::CONNECTION_LOST);
 				return;
 			default:
@@ -152,21 +152,21 @@
 		if (is_stream) {
 			_run_stream(p_action, chosen);
 		} else {
-			_run_whole(p_action, chosen);
+			_run_call(p_action, chosen);
 		}
 	}
 
-	void _run_whole(const start_attempt &p_action, fate p_fate) {
+	void _run_call(const start_attempt &p_action, endpoint_behaviour p_behaviour) {
 		_runs[p_action.id.stage]++;
-		switch (p_fate) {
-			case fate::LOSE_AFTER_RUNNING:
-			case fate::LOSE_MID_STREAM:
+		switch (p_behaviour) {
+			case endpoint_behaviour::LOSE_AFTER_RUNNING:
+			case endpoint_behaviour::LOSE_MID_STREAM:
 				_end_later(p_action.id, verdict::MAY_HAVE_RUN, reason::CONNECTION_LOST);
 				return;
-			case fate::FAIL_AFTER_RUNNING:
+			case endpoint_behaviour::FAIL_AFTER_RUNNING:
 				_end_later(p_action.id, verdict::MAY_HAVE_RUN, reason::ENDPOINT_ERROR);
 				return;
-			case fate::HANG:
+			case endpoint_behaviour::HANG:
 				return;
 			default:
 				break;
@@ -178,12 +178,12 @@
 		end.units = 1.0;
 		const attempt_id id = p_action.id;
 		_at(_draw_delay(), [this, id, end] { _end(id, end); });
-		if (p_fate == fate::TWICE) {
+		if (p_behaviour == endpoint_behaviour::TWICE) {
 			_at(_draw_delay(), [this, id, end] { _end(id, end); });
 		}
 	}
 
-	void _run_stream(const start_attempt &p_action, fate p_fate) {
+	void _run_stream(const start_attempt &p_action, endpoint_behaviour p_behaviour) {
 		if (p_action.start == stream_start::RESUME) {
 			_streams[p_action.id].tokens = _streams[p_action.resume_of].tokens;
 		} else {
@@ -191,7 +191,7 @@
 			_streams[p_action.id].tokens = p_action.start == stream_start::CONTINUE ? _flow->get_tokens() : std::vector<std::string>();
 			_complete_tokens(p_action.id);
 		}
-		if (p_fate == fate::HANG) {
+		if (p_behaviour == endpoint_behaviour::HANG) {
 			return;
 		}
 		const attempt_id id = p_action.id;
@@ -199,18 +199,18 @@
 		const std::vector<std::string> tokens = _streams[id].tokens;
 		for (std::uint32_t offset = p_action.from_offset; offset < tokens.size(); offset++) {
 			const bool is_second = offset == p_action.from_offset + 1;
-			if (is_second && (p_fate == fate::LOSE_MID_STREAM || p_fate == fate::LOSE_AFTER_RUNNING)) {
+			if (is_second && (p_behaviour == endpoint_behaviour::LOSE_MID_STREAM || p_behaviour == endpoint_behaviour::LOSE_AFTER_RUNNING)) {
 				attempt_end lost;
 				lost.result = outcome{ verdict::MAY_HAVE_RUN, reason::CONNECTION_LOST };
 				_at(delay, [this, id, lost] { _end(id, lost); });
 				return;
 			}
-			if (is_second && p_fate == fate::LEAVE_TOKEN_OUT) {
+			if (is_second && p_behaviour == endpoint_behaviour::LEAVE_TOKEN_OUT) {
 				continue;
 			}
 			const auto send = [this, id, offset, token = tokens[offset]] { _apply(_flow->on_token(id, offset, token, _now)); };
 			_at(delay, send);
-			if (is_second && p_fate == fate::REPEAT_TOKEN) {
+			if (is_second && p_behaviour == endpoint_behaviour::REPEAT_TOKEN) {
 				_at(delay, send);
 			}
 			delay += std::chrono::milliseconds(_choices.pick(4));
@@ -224,14 +224,14 @@
 		for (const std::string &token : tokens) {
 			digest.add(token);
 		}
-		if (p_fate == fate::WRONG_DIGEST) {
+		if (p_behaviour == endpoint_behaviour::WRONG_DIGEST) {
 			digest.add("something else");
 		}
 		done.digest = digest.to_string();
 		_at(delay, [this, id, done] { _end(id, done); });
 	}
 
-	/** Every attempt generates its own text, so that a splice of two generations breaks the chain. */
+	/** Each attempt generates its own text, so that mixing tokens of two generations is detected by the check of the token chain. */
 	void _complete_tokens(const attempt_id &p_id) {
 		std::vector<std::string> &tokens = _streams[p_id].tokens;
 		while (tokens.size() < TOKENS) {
@@ -249,7 +249,7 @@
 		RC_ASSERT(_finishes == 0);
 		_forwarded.push_back(p_action.token);
 	}
-	void _do(const book_cost &p_action) { _booked_useful += p_action.use == cost_use::USEFUL ? 1 : 0; }
+	void _do(const record_cost &p_action) { _booked_useful += p_action.use == cost_use::USEFUL ? 1 : 0; }
 	void _do(const settle_cost &) {}
 	void _do(const wake_at &p_action) { _wake = p_action.at; }
 	void _do(const finish_request &p_action) {
@@ -276,8 +276,8 @@
 
 	void _check_end() const {
 		RC_ASSERT(_finishes == 1);
-		RC_ASSERT(_places == 0);
-		RC_ASSERT(!_asking);
+		RC_ASSERT(_slots_held == 0);
+		RC_ASSERT(!_is_slot_requested);
 		RC_ASSERT(_open.empty());
 		int runs = 0;
 		for (const auto &[stage, count] : _runs) {
@@ -333,7 +333,7 @@
 	void run() {
 		_flow = std::make_unique<request_flow>(_plan, _make_hooks());
 		if (_choices.one_in(10)) {
-			_at(std::chrono::milliseconds(_choices.pick(200)), [this] { _apply(_flow->on_caller_gone(_now)); });
+			_at(std::chrono::milliseconds(_choices.pick(200)), [this] { _apply(_flow->on_caller_disconnected(_now)); });
 		}
 		_apply(_flow->start(_now));
 		for (int steps = 0; steps < 2000; steps++) {
@@ -348,7 +348,7 @@
 				continue;
 			}
 			const auto next = _events.begin();
-			// A pause of the process now and then delays everything after it.
+			// A random stall of the process delays all following events.
 			_now = std::max(_now, next->first);
 			if (_choices.one_in(60)) {
 				_now += std::chrono::milliseconds(_choices.pick(600));
@@ -410,7 +410,7 @@
 TEST(request_flow, refused_first_stage_is_not_run) {
 	request_flow flow(make_plan({ true, true, true }), make_plain_hooks());
 	flow.start(instant{});
-	const std::vector<request_action> actions = flow.on_place_denied(reason::QUEUE_FULL, instant{});
+	const std::vector<request_action> actions = flow.on_slot_denied(reason::QUEUE_FULL, instant{});
 	EXPECT_EQ(find_action<finish_request>(actions)->result, (outcome{ verdict::NOT_RUN, reason::QUEUE_FULL }));
 	EXPECT_GT(find_action<finish_request>(actions)->retry_after, duration::zero());
 }
@@ -418,16 +418,16 @@
 TEST(request_flow, refused_second_stage_is_not_called_not_run) {
 	request_flow flow(make_plan({ true, true, true }), make_plain_hooks());
 	flow.start(instant{});
-	const attempt_id first = find_action<start_attempt>(flow.on_place_given(instant{}))->id;
+	const attempt_id first = find_action<start_attempt>(flow.on_slot_granted(instant{}))->id;
 	flow.on_attempt_ended(first, make_end(verdict::COMPLETED, reason::NONE), instant{});
-	const std::vector<request_action> actions = flow.on_place_denied(reason::QUEUE_FULL, instant{});
+	const std::vector<request_action> actions = flow.on_slot_denied(reason::QUEUE_FULL, instant{});
 	EXPECT_EQ(find_action<finish_request>(actions)->result.what, verdict::MAY_HAVE_RUN);
 }
 
 TEST(request_flow, unrepeatable_stage_is_tried_again_only_if_it_did_not_run) {
 	request_flow flow(make_plan({ false, true, true }), make_plain_hooks());
 	flow.start(instant{});
-	const attempt_id first = find_action<start_attempt>(flow.on_place_given(instant{}))->id;
+	const attempt_id first = find_action<start_attempt>(flow.on_slot_granted(instant{}))->id;
 	const std::vector<request_action> again = flow.on_attempt_ended(first, make_end(verdict::NOT_RUN, reason::CONNECT_FAILED), instant{});
 	ASSERT_NE(find_action<start_attempt>(again), nullptr);
 	const attempt_id second = find_action<start_attempt>(again)->id;
@@ -439,7 +439,7 @@
 TEST(request_flow, second_answer_is_dropped_and_counted) {
 	request_flow flow(make_plan({ true, true, true }), make_plain_hooks());
 	flow.start(instant{});
-	const attempt_id first = find_action<start_attempt>(flow.on_place_given(instant{}))->id;
+	const attempt_id first = find_action<start_attempt>(flow.on_slot_granted(instant{}))->id;
 	flow.on_attempt_ended(first, make_end(verdict::COMPLETED, reason::NONE), instant{});
 	EXPECT_TRUE(flow.on_attempt_ended(first, make_end(verdict::COMPLETED, reason::NONE), instant{}).empty());
 	EXPECT_EQ(flow.get_drops().late_answers, 1U);
@@ -448,14 +448,14 @@
 TEST(request_flow, deadline_that_passed_before_the_start_runs_nothing) {
 	request_flow flow(make_plan({ false, true, true }), make_plain_hooks());
 	const std::vector<request_action> actions = flow.start(instant(std::chrono::seconds(2)));
-	EXPECT_EQ(find_action<ask_place>(actions), nullptr);
+	EXPECT_EQ(find_action<acquire_slot>(actions), nullptr);
 	EXPECT_EQ(find_action<finish_request>(actions)->result, (outcome{ verdict::NOT_RUN, reason::DEADLINE_PASSED }));
 }
 
 TEST(request_flow, pause_before_the_place_is_given_runs_nothing) {
 	request_flow flow(make_plan({ false, true, true }), make_plain_hooks());
 	flow.start(instant{});
-	const std::vector<request_action> actions = flow.on_place_given(instant(std::chrono::seconds(2)));
+	const std::vector<request_action> actions = flow.on_slot_granted(instant(std::chrono::seconds(2)));
 	EXPECT_EQ(find_action<start_attempt>(actions), nullptr);
 	EXPECT_EQ(find_action<finish_request>(actions)->result, (outcome{ verdict::NOT_RUN, reason::DEADLINE_PASSED }));
 }
@@ -463,7 +463,7 @@
 TEST(request_flow, given_up_requests_get_their_answer_at_once) {
 	request_flow flow(make_plan({ false, true, true }), make_plain_hooks());
 	flow.start(instant{});
-	const attempt_id first = find_action<start_attempt>(flow.on_place_given(instant{}))->id;
+	const attempt_id first = find_action<start_attempt>(flow.on_slot_granted(instant{}))->id;
 	const instant soon(std::chrono::milliseconds(1));
 	EXPECT_NE(find_action<finish_request>(flow.on_attempt_ended(first, make_end(verdict::MAY_HAVE_RUN, reason::CONNECTION_LOST), soon)), nullptr);
 }
@@ -471,7 +471,7 @@
 TEST(request_flow, hanging_attempt_leaves_time_for_another) {
 	request_flow flow(make_plan({ true, true, true }), make_plain_hooks());
 	flow.start(instant{});
-	const std::vector<request_action> actions = flow.on_place_given(instant{});
+	const std::vector<request_action> actions = flow.on_slot_granted(instant{});
 	const start_attempt *first = find_action<start_attempt>(actions);
 	ASSERT_NE(first, nullptr);
 	EXPECT_LT(first->give_up_at, instant(std::chrono::milliseconds(700)));
@@ -482,7 +482,7 @@
 	plan.stages[0].kind = stage_kind::GENERATE;
 	request_flow flow(plan, make_plain_hooks());
 	flow.start(instant{});
-	const attempt_id first = find_action<start_attempt>(flow.on_place_given(instant{}))->id;
+	const attempt_id first = find_action<start_attempt>(flow.on_slot_granted(instant{}))->id;
 	flow.on_token(first, 0, "token", instant{});
 	const std::vector<request_action> resumed = flow.on_attempt_ended(first, make_end(verdict::MAY_HAVE_RUN, reason::CONNECTION_LOST), instant{});
 	ASSERT_NE(find_action<start_attempt>(resumed), nullptr);
@@ -499,7 +499,7 @@
 		plan.stages[0].kind = stage_kind::GENERATE;
 		request_flow flow(plan, make_plain_hooks());
 		flow.start(instant{});
-		const attempt_id first = find_action<start_attempt>(flow.on_place_given(instant{}))->id;
+		const attempt_id first = find_action<start_attempt>(flow.on_slot_granted(instant{}))->id;
 		flow.on_token(first, 0, "token", instant{});
 		attempt_end end = make_end(verdict::COMPLETED, reason::NONE);
 		stream_digest digest;
